--- a/src/lease/clock.hpp
+++ b/src/lease/clock.hpp
@@ -1,4 +1,4 @@
-// The clock by which leases are counted.
+// The clock that measures the time of leases.
 #pragma once
 
 #include <ctime>
@@ -7,9 +7,9 @@
 
 namespace tideline::lease {
 
-// Seconds since the machine was started; never goes back, whatever is done to the time of day. It
-// includes the time that the machine was suspended: by a clock that stops meanwhile a holder would
-// take its lease for valid after it expired.
+// Returns the seconds since the machine was booted. The clock is monotonic, also when the time of
+// day is set. It includes the time for which the machine was suspended: with a clock that stops
+// meanwhile, a holder would believe its lease valid after it expired.
 inline Seconds lasting_now() {
     timespec at{};
     ::clock_gettime(CLOCK_BOOTTIME, &at);
--- a/src/lease/fencing_check.hpp
+++ b/src/lease/fencing_check.hpp
@@ -1,6 +1,6 @@
-// The check at the target of an act: an act under an older token than one that was seen is
-// rejected. Clocks can't give that: a holder that was stopped between its check and its act acts
-// late (docs/leases.md).
+// The check by which the target of a leased operation rejects operations under an older fencing
+// token than one that it has seen. Clocks can't ensure this: a holder that is paused between its
+// own check of the lease and the operation performs the operation too late (docs/leases.md).
 #pragma once
 
 #include <map>
@@ -11,7 +11,8 @@
 
 class FencingCheck {
   public:
-    // Whether an act under this token may take effect. If so, none under an older token may later.
+    // Returns whether an operation under this token may take effect. If so, operations under older
+    // tokens are rejected from now on.
     bool passes(const LeaseName& lease, FencingToken token) {
         FencingToken& newest = newest_[lease];
         if (token < newest || token == FencingToken{}) {
--- a/src/lease/lease_client.cpp
+++ b/src/lease/lease_client.cpp
@@ -9,11 +9,12 @@
 namespace tideline::lease {
 namespace {
 
-// Share of the span: two renewals may be lost before it is over.
+// The share of the span after which a lease is renewed. Two renewals may be lost before it expires.
 constexpr double kRenewalShare = 1.0 / 3;
-// Bits: incarnations are milliseconds apart, with fewer than a million requests each.
+// The number of bits of a request id below the incarnation. Incarnations are milliseconds apart,
+// and each sends fewer than a million requests.
 constexpr int kIncarnationShift = 20;
-// Times the timeout of a request: the longest backoff.
+// The longest backoff, as a multiple of the timeout of a request.
 constexpr int kMaxBackoffFactor = 8;
 
 }  // namespace
@@ -37,7 +38,7 @@
         return;
     }
     const FencingToken token = it->second.token;
-    // Once the lease is released another member may act, so this one stops first.
+    // Another member may act once the lease is released, so this member stops acting first.
     if (token > FencingToken{}) {
         lose(lease, it->second, LossReason::released);
     }
@@ -70,7 +71,7 @@
             return &wanted;
         }
     }
-    return nullptr;  // a request that was given up: it is not known when it was sent
+    return nullptr;  // the request was abandoned, so the time at which it was sent is not known
 }
 void LeaseClient::lose(const LeaseName& lease, WantedLease& wanted, LossReason reason) {
     const FencingToken token = std::exchange(wanted.token, FencingToken{});
@@ -90,8 +91,8 @@
     if (!wanted) {
         return;
     }
-    // Invariant: a token that was released is never used again. The message that releases it may
-    // still be on its way and would end the holding.
+    // Invariant: a released token is never used again. The message that releases it may still be in
+    // flight, and would end the holding when it arrives.
     if (const auto given = released_tokens_.find(lease);
         given != released_tokens_.end() && token <= given->second) {
         if (wanted->token > FencingToken{}) {
@@ -100,8 +101,8 @@
         release_token(lease, token);
         return back_off(now, *wanted);
     }
-    // Invariant: the member counts the span from before it sent the request, the leader from when
-    // it received it. So the member stops first.
+    // Invariant: the member counts the span from when it sent the request, and the leader from when
+    // it received the request. So the member stops acting before the leader ends the holding.
     const Seconds until = wanted->requested_at + span;
     if (now >= until) {
         wanted->next_request_at = now;
@@ -143,7 +144,7 @@
     const FencingToken token = wanted->token;
     if (token > FencingToken{}) {
         lose(lease, *wanted, LossReason::revoked);
-        // Where it was revoked, the next holder need not wait until this member's time is over.
+        // If the lease was revoked, this lets the next holder start before the lease would expire.
         release_token(lease, token);
     }
     back_off(now, *wanted);
@@ -194,7 +195,7 @@
             ++wanted.failed_attempts;
         }
         send_request(now, lease, wanted);
-        // Backs off: otherwise all members would send requests all the time while no planner
+        // Without a backoff all members would send requests at the full rate while no planner
         // answers.
         if (wanted.failed_attempts > 1) {
             wanted.next_request_at =
--- a/src/lease/lease_manager.cpp
+++ b/src/lease/lease_manager.cpp
@@ -8,9 +8,10 @@
 namespace tideline::lease {
 namespace {
 
-constexpr Seconds kSweepInterval = 5;  // s: of the times of members' requests
+// The interval at which outdated times of members' requests are removed.
+constexpr Seconds kSweepInterval = 5;
 
-// The place of a member among the waiters, from 1; 0 if it does not wait.
+// Returns the member's position among the waiters, counted from 1; 0 if it is not among them.
 std::size_t queue_position(const Lease& lease, const Member& member) {
     const auto it = std::find(lease.waiting.begin(), lease.waiting.end(), member);
     return it == lease.waiting.end() ? 0 : static_cast<std::size_t>(it - lease.waiting.begin()) + 1;
@@ -32,8 +33,9 @@
     is_leader_ = true;
     leader_since_ = now;
     timers_.clear();
-    // Invariant: no lease is granted anew before its holder can no longer act. An earlier leader
-    // may have renewed any of these up to the moment when this one was elected.
+    // Invariant: a lease is not granted to another member while its holder may still act. An
+    // earlier leader may have renewed any of these leases until this planner was elected, so each
+    // is given its full time from now.
     for (const auto& [name, lease] : leases_->leases()) {
         if (lease.now.token > FencingToken{}) {
             timers_[name] = {lease.now.token, now + settings_.wait(), 0, true, false};
@@ -78,8 +80,9 @@
     if (lease && lease->now.token > FencingToken{} && lease->waiting.size() >= kWaitersMost) {
         return host_->reply(id, Answer::refused, {}, 0, 0);
     }
-    // Only the request that led to the entry may be answered by its grant. A later one can reach a
-    // planner that is no longer the leader, after its successor started to wait for the holder.
+    // Only the request that led to the entry is answered with its grant. A later request may reach
+    // this planner when it is no longer the leader, after its successor has started the timer of
+    // the holding.
     if (!pending_acquires_.try_emplace({name, member}, id).second) {
         return host_->reply(id, Answer::waiting, {}, 0, 0);
     }
@@ -100,13 +103,13 @@
                          FencingToken token) {
     const auto timer = timers_.find(name);
     const Lease* lease = leases_->find(name);
-    // A holding whose end is proposed may not be renewed.
+    // A holding whose end is proposed must not be renewed.
     if (timer == timers_.end() || timer->second.token != token || timer->second.ending ||
         lease->withdrawn) {
         return host_->reply(id, Answer::over, token, 0, 0);
     }
-    // A planner that was cut off or stopped may no longer be the leader. A majority has to confirm
-    // first that it is.
+    // A planner that was partitioned or paused may no longer be the leader. A majority has to
+    // confirm that it is before the renewal is granted.
     pending_renewals_.emplace(host_->start_round(), PendingRenewal{id, name, token, now});
 }
 void LeaseManager::handle_release(Seconds now, LeaseRequestId id, const LeaseName& name,
@@ -174,7 +177,8 @@
     if (timers_[name].token == lease->now.token) {
         return;
     }
-    // The lease went to a waiter, which has not asked just now: the grant is answered once it does.
+    // The lease was granted to a waiter that has no pending request. The grant is sent in answer to
+    // its next request.
     timers_[name] = {lease->now.token, now + settings_.wait(), now + settings_.claim, false, false};
     host_->notify_turn(lease->now.holder, name, lease->now.token);
 }
--- a/src/lease/lease_state_machine.cpp
+++ b/src/lease/lease_state_machine.cpp
@@ -43,20 +43,20 @@
     }
     lease.now = {};
     lease.withdrawn = false;
-    // One waiter gets it, so that the others need not all come at once.
+    // The lease passes directly to one waiter, so that the others do not all request it at once.
     if (!lease.waiting.empty()) {
         lease.now = {at, lease.waiting.front(), unix_time, 0, HoldingEnd::held};
         lease.waiting.pop_front();
     } else if (leases_.size() >= kLeasesMost && !raised_alarms_.contains(name) &&
                !documents_.contains(name)) {
-        leases_.erase(name);  // room for another task
+        leases_.erase(name);  // makes room for a lease of another name
     }
 }
 void LeaseStateMachine::expire(FencingToken at, double unix_time, const LeaseName& name,
                                FencingToken token, HoldingEnd how,
                                const std::vector<Member>& absent) {
     const auto it = leases_.find(name);
-    // A delayed or repeated command about an earlier holding may not end the present one.
+    // A delayed or repeated command for an earlier holding must not end the present one.
     if (it == leases_.end() || it->second.now.token != token || token == FencingToken{}) {
         return;
     }
@@ -67,8 +67,8 @@
     if (it == leases_.end() || it->second.now.token != token || token == FencingToken{}) {
         return;
     }
-    // Its holder may act until its time is over, so the lease is only not renewed. The next holder
-    // waits that long.
+    // The holder may act until the lease expires, so revoking only prevents the renewal. The next
+    // grant comes after the expiry.
     it->second.withdrawn = true;
 }
 void LeaseStateMachine::stop_waiting(const LeaseName& name, const Member& member) {
@@ -81,12 +81,12 @@
 ChangeResult LeaseStateMachine::raise(double unix_time, const LeaseName& name, FencingToken token,
                                       const std::string& key, const std::string& text) {
     const Lease* lease = find(name);
-    // A former holder may not raise alarms beside its successor.
+    // A former holder must not raise alarms while its successor does.
     if (!lease || lease->now.token != token || token == FencingToken{}) {
         return ChangeResult::stale_token;
     }
     auto& all = raised_alarms_[name];
-    // Raised as before, by whoever and since when it was; only its text is newer.
+    // An alarm that is raised already keeps its token and its time; only its text is updated.
     if (const auto raised = all.find(key); raised != all.end()) {
         raised->second.text = text;
         return ChangeResult::unchanged;
@@ -111,7 +111,8 @@
 ChangeResult LeaseStateMachine::write_document(const LeaseName& name, FencingToken token,
                                                std::uint64_t number, const std::string& bytes) {
     const Lease* lease = find(name);
-    // Neither a former holder, nor one that has not seen the newest document, may overwrite it.
+    // The document must not be overwritten by a former holder, nor by a holder that has not seen
+    // the newest version.
     if (!lease || lease->now.token != token || token == FencingToken{}) {
         return ChangeResult::stale_token;
     }
--- a/src/lease/lease_state_machine.hpp
+++ b/src/lease/lease_state_machine.hpp
@@ -1,6 +1,6 @@
-// The replicated state of leases: what the committed commands of the planners' log lead to. No
-// clock and no I/O; the times in it are the leader's, for people to read. The same commands lead to
-// the same state on every planner.
+// The replicated state of leases, to which the committed commands of the planners' log are applied.
+// The same commands lead to the same state on every planner, so this class reads no clock and does
+// no I/O. The times in the state come from the leader and are only displayed.
 #pragma once
 
 #include <deque>
@@ -12,15 +12,15 @@
 
 namespace tideline::lease {
 
-// Limits, since all of the state is in every snapshot.
-constexpr std::size_t kLeasesMost = 256;       // leases
-constexpr std::size_t kWaitersMost = 4096;     // waiters of a lease: each member of a large cluster
-constexpr std::size_t kNameMost = 100;         // bytes
-constexpr std::size_t kPastMost = 32;          // past holdings of a lease, for people to read
-constexpr std::size_t kRaisedMost = 4096;      // raised alarms of a lease
-constexpr std::size_t kWrittenMost = 1 << 20;  // bytes of a lease's document
+// Limits. They bound the size of a snapshot, which contains the whole state.
+constexpr std::size_t kLeasesMost = 256;
+constexpr std::size_t kWaitersMost = 4096;  // per lease; enough for each member of a large cluster
+constexpr std::size_t kNameMost = 100;
+constexpr std::size_t kPastMost = 32;      // per lease; past holdings are only displayed
+constexpr std::size_t kRaisedMost = 4096;  // per lease
+constexpr std::size_t kWrittenMost = 1 << 20;
 
-// One member holding the lease. Times are Unix time.
+// The period for which one member holds a lease. Times are Unix time.
 struct Holding {
     FencingToken token;
     Member holder;
@@ -30,8 +30,8 @@
     bool operator==(const Holding&) const = default;
 };
 struct Lease {
-    Holding now;             // token 0: nobody holds it
-    bool withdrawn = false;  // revoked by an operator: not renewed any more
+    Holding now;             // the current holding; its token is 0 if nobody holds the lease
+    bool withdrawn = false;  // an operator has revoked the lease, so it is not renewed any more
     std::deque<Member> waiting;
     std::deque<Holding> past;
     bool operator==(const Lease&) const = default;
@@ -44,37 +44,44 @@
     bool operator==(const RaisedAlarm&) const = default;
 };
 
-// What the holder of a lease has written for all members. Numbered, so that no holder overwrites a
-// document that it has not seen.
+// Data that the holder of a lease publishes to all members. It is numbered, so that a holder can't
+// overwrite a document that it has not seen.
 struct LeaseDocument {
     std::uint64_t number = 0;
     std::string bytes;
     bool operator==(const LeaseDocument&) const = default;
 };
 
-// The result of a command of a holder. unchanged: the alarm was raised or cleared already, or the
-// document has another number. stale_token: the token is no longer that of the lease.
-enum class ChangeResult { done, unchanged, stale_token };
+// The result of a command of a lease holder.
+enum class ChangeResult {
+    done,
+    // The alarm was raised or cleared already, the document has another number, or a limit is
+    // reached.
+    unchanged,
+    // The token is not the current token of the lease.
+    stale_token
+};
 
 // Not thread-safe; called from the event loop only.
 class LeaseStateMachine {
   public:
-    // Grants the lease, or adds the member to the waiters. `at` is the index of the command, and so
-    // the token of a grant that follows from it.
+    // Grants the lease, or adds the member to the waiters. `at` is the log index of the command; it
+    // becomes the fencing token if the command leads to a grant.
     void acquire(FencingToken at, double unix_time, const LeaseName& lease, const Member& member);
-    // Ends a holding, released by its holder or once the holder can no longer act, and grants the
-    // lease to the first waiter. `absent`: waiters that were not heard for long and are removed.
+    // Ends the holding under `token`, which the holder has released or under which it can no longer
+    // act, and grants the lease to the first waiter. `absent` are waiters that have not asked for
+    // the lease for too long; they are removed from the queue first.
     void expire(FencingToken at, double unix_time, const LeaseName& lease, FencingToken token,
                 HoldingEnd end, const std::vector<Member>& absent);
-    // Stops renewals; the holder may act until its time is over.
+    // Stops the renewal of the lease. The holder may act until the lease expires.
     void revoke(const LeaseName& lease, FencingToken token);
     void stop_waiting(const LeaseName& lease, const Member& member);
-    // Alarms, by the holder of the lease under that token.
+    // Raise and clear alarms on behalf of the holder of the lease under `token`.
     ChangeResult raise(double unix_time, const LeaseName& lease, FencingToken token,
                        const std::string& key, const std::string& text);
     ChangeResult clear(const LeaseName& lease, FencingToken token, const std::string& key);
-    // Writes the document number `number`; unchanged where the last one is not `number` - 1, or it
-    // is too long.
+    // Replaces the document number `number` - 1 with this one. Returns ChangeResult::unchanged if
+    // the present document has another number, or this one is too long.
     ChangeResult write_document(const LeaseName& lease, FencingToken token, std::uint64_t number,
                                 const std::string& bytes);
 
@@ -91,7 +98,7 @@
         return documents_;
     }
     void restore(std::map<LeaseName, Lease> leases, RaisedAlarms raised, LeaseDocuments documents);
-    // The state as text; for model checking.
+    // A text of the whole state, for model checking.
     std::string fingerprint() const;
 
   private:
--- a/src/lease/types.hpp
+++ b/src/lease/types.hpp
@@ -1,4 +1,4 @@
-// Types of leases: names, fencing tokens, members, and the answers to a member's requests.
+// Data types of leases: names, fencing tokens, members, and the answers to a member's requests.
 #pragma once
 
 #include <string>
@@ -10,29 +10,36 @@
 using cluster::Incarnation;
 using cluster::Name;
 
-// A task that one member of the cluster does for all.
+// Names a task that one member at a time does for the whole cluster.
 using LeaseName = Id<struct LeaseNameTag, std::string>;
-// Identifies one grant of a lease; a later grant has a higher token. 0: none.
+// Identifies one grant of a lease. A later grant has a higher token; 0 means that there is no
+// grant.
 using FencingToken = Id<struct FencingTokenTag, std::uint64_t>;
 // Numbers the requests of a member.
 using LeaseRequestId = Id<struct LeaseRequestTag, std::uint64_t>;
 
-// One incarnation of a member: a process that was restarted is another holder.
+// One incarnation of a member. A restarted process has a new incarnation and so is another holder.
 struct Member {
     Name name;
     Incarnation incarnation;
     auto operator<=>(const Member&) const = default;
 };
 
-// The numbers are on the wire.
+// The result of a lease request. The numeric values are part of the wire protocol.
 enum class Answer {
-    granted,  // it holds the lease under that token, for the given span from before it asked
-    waiting,  // others come first
-    over,     // the token is no longer the lease's, is not renewed, or was released
-    not_now,  // this planner can't tell: ask another, or again
-    refused   // it never will: a limit is reached, or the name is not valid
+    // The member holds the lease under the token, for the span from when it sent the request.
+    granted,
+    // The member is in the queue.
+    waiting,
+    // The token was superseded or released, or it is not renewed any more.
+    over,
+    // This planner can't decide, for example because it is not the leader. The member should ask
+    // another planner, or retry.
+    not_now,
+    // The request can't succeed: a limit is reached, or the name is invalid.
+    refused
 };
-// How a holding ended. The numbers are on the wire and in snapshots.
+// Why a holding ended. The numeric values are part of the wire protocol and of snapshots.
 enum class HoldingEnd { held, released, expired, unclaimed, revoked };
 
 }  // namespace tideline::lease
--- a/src/planner/planner.cpp
+++ b/src/planner/planner.cpp
@@ -13,7 +13,8 @@
 
 using lease::lasting_now;
 
-// s: by then other planners have reported whether they belong to a cluster.
+// The delay before a cluster is founded. By then other planners have reported whether they belong
+// to a cluster already.
 constexpr Seconds kFoundingDelay = 1.5;
 
 }  // namespace
@@ -96,7 +97,7 @@
 void Planner::persist(raft::PersistId id, const raft::PersistRequest& request) {
     pending_writes_.push_back(request);
     last_persist_id_ = id;
-    // All requests of one pass of the event loop are written in one transaction.
+    // All requests of one iteration of the event loop are written in one transaction.
     if (write_timer_ == net::Timers::kNone) {
         write_timer_ = loop_.timers.soon([this] { write_to_disk(); });
     }
@@ -110,8 +111,8 @@
     try {
         raft_storage_.persist(std::exchange(pending_writes_, {}));
     } catch (const std::exception& error) {
-        // After an fsync that failed it is not known what is on the disk. This planner neither
-        // votes nor acknowledges any more.
+        // After a failed fsync the contents of the disk are not known, so this planner must neither
+        // vote nor acknowledge entries any more.
         fatal_error_ = error.what();
         return;
     }
--- a/src/planner/planner.hpp
+++ b/src/planner/planner.hpp
@@ -1,8 +1,9 @@
-// One planner process: connects the planner core to the other planners, the members and the disk.
-// Decides nothing itself. Called on the thread of the event loop.
+// A planner process: connects the planner core to the other planners, the members and the disk. All
+// decisions are made by the planner core. All calls come from the thread of the event loop.
 //
-// planner.cpp: start, disk and timers; planner_messages.cpp: messages of other planners, routing;
-// planner_requests.cpp: requests of members and operators.
+// The implementation is in three files: planner.cpp has the start, the disk and the timers;
+// planner_messages.cpp the messages of other planners and their routing; planner_requests.cpp the
+// requests of members and operators.
 #pragma once
 
 #include <map>
@@ -22,25 +23,25 @@
 
 class Planner : RaftMessageCodec, cluster::PeerConnections::Owner {
   public:
-    // `founds_cluster`: this is the first planner of a new cluster; its disk has to be empty.
-    // Throws std::runtime_error where the disk or the address can't be used.
+    // `founds_cluster` tells that this is the first planner of a new cluster; its disk has to be
+    // empty. Throws std::runtime_error if the disk or the address can't be used.
     Planner(net::EventLoop& loop, net::Log& log, const PlannerConfig& planner_config,
             bool founds_cluster, std::uint64_t seed);
     Planner(const Planner&) = delete;
     Planner& operator=(const Planner&) = delete;
     ~Planner() override;
     void begin();
-    // Why the planner can't go on; empty while it can. A disk that fails ends it.
+    // Why the planner can't continue, for example because its disk failed; empty while it can.
     const std::string& fatal_error() const {
         return fatal_error_;
     }
 
   private:
     using ServerId = raft::ServerId;
-    // A request without an answer yet.
+    // A request that is not answered yet.
     struct PendingRequest {
         cluster::LinkId link;
-        std::uint64_t id = 0;  // as the sender numbers it
+        std::uint64_t id = 0;  // the number that the sender gave the request
         Seconds at = 0;
     };
     // RaftMessageCodec
@@ -69,7 +70,7 @@
     void start_core(raft::PersistentState state);
     void found_cluster();
     wire::Word new_message() const;
-    // Messages of other planners. See the cpp for what the results mean.
+    // Messages of other planners. The .cpp file explains the results.
     void handle_planning(cluster::LinkId link, const wire::Word& message);
     bool handle_announcement(const cluster::Name& name, const std::string& address,
                              const wire::Planning& planning);
@@ -98,7 +99,7 @@
     void send_holder(cluster::LinkId link, const lease::LeaseName& lease);
     void fill_table(wire::PlannerTable& table) const;
     void reject(lease::LeaseRequestId id, const std::string& reason);
-    // All pending writes, in one transaction.
+    // Writes all pending requests to the disk in one transaction.
     void write_to_disk();
     void schedule_tick();
 
@@ -107,19 +108,20 @@
     const PlannerConfig planner_config_;
     RaftStorage raft_storage_;
     cluster::PeerConnections peer_connections_;
-    // Null until the cluster is founded.
+    // Null in a planner that founds a cluster, until it has done so.
     std::unique_ptr<PlannerCore> planner_core_;
-    // 0 until the cluster is founded or joined.
+    // 0 until the planner has founded or joined a cluster.
     raft::ClusterId cluster_;
-    // To be written in one transaction; `last_persist_id_` is the newest of them.
+    // Requests that will be written in one transaction. `last_persist_id_` is the id of the newest.
     std::vector<raft::PersistRequest> pending_writes_;
     raft::PersistId last_persist_id_;
-    // By the number under which the planner core answers them.
+    // Keyed by the id under which the planner core answers the request.
     std::map<lease::LeaseRequestId, PendingRequest> pending_requests_;
     PlannerDirectory directory_;
-    // Connections that subscribed to the holders of leases, each with the end of its subscription.
+    // Connections that subscribed to the holders of leases, with the times at which their
+    // subscriptions expire.
     std::map<cluster::LinkId, Seconds> watchers_;
-    // Faults that are logged only once.
+    // Identifies the faults that were logged already; each is logged only once.
     std::set<std::string> logged_faults_;
     std::uint64_t last_request_id_ = 0;
     std::string fatal_error_;
--- a/src/planner/planner_core.cpp
+++ b/src/planner/planner_core.cpp
@@ -14,16 +14,18 @@
 using raft::Name;
 using raft::ServerId;
 
-constexpr std::uint64_t kCaughtUpEntries = 64;  // a learner that lacks at most these has caught up
-constexpr Seconds kLearnerTimeout = 2;          // s: a learner not heard for longer is not counted
+// A learner that lacks at most this many committed entries has caught up.
+constexpr std::uint64_t kCaughtUpEntries = 64;
+// A learner whose last reply is older has not caught up, whatever it has persisted.
+constexpr Seconds kLearnerTimeout = 2;
 
 void put_member(const Member& member, wire::Member& to) {
     to.set_name(member.name.value);
     to.set_life(member.incarnation.value);
 }
 
-// Whether the entry at `at` may have changed the holder of the lease: it granted the lease, or
-// nobody holds it.
+// Whether the entry at index `at` may have changed the holder of the lease: it granted the lease,
+// or nobody holds the lease any more.
 bool may_have_new_holder(const lease::Lease* lease, LogIndex at) {
     if (!lease) {
         return false;
@@ -81,7 +83,7 @@
     }
     answer_decided(at, effect.change);
 }
-// Answers the request that the entry decides, if it was made here.
+// Answers the request whose command the entry holds, if this planner received it.
 void PlannerCore::answer_decided(LogIndex at, lease::ChangeResult change) {
     const auto decided = pending_decisions_.find(at);
     if (decided == pending_decisions_.end()) {
@@ -131,7 +133,7 @@
     propose(command);
 }
 lease::RoundId PlannerCore::start_round() {
-    // All requests of one pass of the event loop share one round.
+    // All requests of one iteration of the event loop share one round.
     wants_round_ = true;
     return {raft_.current_round().value + 1};
 }
@@ -248,8 +250,8 @@
             host_->reply(id, Answer::not_now, {}, 0, 0);
         }
     }
-    // Invariant: a new leader answers only once it has applied what was committed before its term.
-    // Otherwise it could renew a lease that a committed entry ends.
+    // Invariant: a new leader answers requests only once it has applied all entries that were
+    // committed before its term. Otherwise it could renew a lease that a committed entry ends.
     if (!lease_manager_.is_leader() && raft_.is_ready_leader()) {
         leader_term_ = raft_.term();
         lease_manager_.on_leadership_gained(now);
@@ -264,7 +266,7 @@
         raft_.compact(raft_.last_applied(), state_of(leases_, voter_membership_));
     }
 }
-// Proposes the next step towards the voters that were admitted.
+// Proposes the next change of the voter set towards the admitted planners.
 void PlannerCore::advance_voters(Seconds now) {
     const auto caught_up = [&](ServerId server) {
         const bool has_log =
--- a/src/planner/planner_core.hpp
+++ b/src/planner/planner_core.hpp
@@ -1,6 +1,6 @@
-// A planner without its sockets, disk and clock: the Raft log, the replicated state of leases and
-// voters, and the lease manager. The program, the simulation and the model checker all run this
-// class.
+// The part of a planner that needs no sockets, disk or clock: the Raft log, the replicated state of
+// leases and voters, and the lease manager. The planner process, the simulation and the model
+// checker all use this class.
 #pragma once
 
 #include <map>
@@ -15,25 +15,27 @@
 
 namespace tideline::planner {
 
-// What a planner core needs of its surroundings. No method may call back into the planner core.
+// The services that a planner core needs from its process. No method may call back into the planner
+// core.
 class PlannerCoreHost : public raft::RaftTransport {
   public:
     // Answers the request of a member or an operator.
     virtual void reply(lease::LeaseRequestId id, lease::Answer result, lease::FencingToken token,
                        Seconds span, std::size_t before) = 0;
-    // The command of a request is committed. `changed`: it changed the state.
+    // The command of a request is committed and applied. `changed` tells whether it changed the
+    // state.
     virtual void on_command_committed(lease::LeaseRequestId id, bool changed) = 0;
-    // The lease was granted to a waiter.
+    // Notifies a waiter that the lease was granted to it.
     virtual void notify_turn(const lease::Member& member, const lease::LeaseName& lease,
                              lease::FencingToken token) = 0;
-    // The holder or the document of the lease changed, as far as this planner has applied the log.
+    // An entry that this planner applied may have changed the holder or the document of the lease.
     virtual void holder_changed(const lease::LeaseName&) {}
 };
 
 struct PlannerCoreSettings {
     raft::RaftSettings raft;
     lease::LeaseManagerSettings leases;
-    // Applied entries until they are replaced by a snapshot.
+    // A snapshot replaces the applied entries once there are more of them than this.
     std::size_t snapshot_after_entries = 1000;
 };
 
@@ -41,32 +43,32 @@
   public:
     PlannerCore(PlannerCoreHost& host, const PlannerCoreSettings& settings, raft::ServerId self,
                 raft::PersistentState state, std::uint64_t seed, Seconds now);
-    // A copy; for simulation and model checking.
+    // Copies `other`, but uses another host; for simulation and model checking.
     PlannerCore(const PlannerCore& other, PlannerCoreHost& host);
-    // The persistent state of the first planner of a new cluster.
+    // Returns the persistent state with which the first planner of a new cluster starts.
     static raft::PersistentState initial_state(raft::ServerId self, const raft::Name& name,
                                                const std::string& address);
 
-    // Passes an event to Raft: a message of another planner, or a write that is on the disk. `call`
-    // gets the Raft object.
+    // Passes an event to Raft: a message from another planner, or the completion of a write. `call`
+    // is called with the Raft object.
     template <class Call>
     void with_raft(Seconds now, Call call) {
         call(raft_);
         after_event(now);
     }
     void tick(Seconds now);
-    // When tick has to be called next; infinite if never.
+    // Returns the time at which tick has to be called next; infinity if it need not be called.
     Seconds due() const {
         return std::min(raft_.due(), lease_manager_.due());
     }
-    // All events of one pass of the event loop were passed on: starts the round of heartbeats that
-    // they need, once for all. Call it where wants_round().
+    // Starts one round of heartbeats for all requests of an iteration of the event loop that need
+    // one. Call this at the end of the iteration if wants_round() returns true.
     void end_batch(Seconds now);
     bool wants_round() const {
         return wants_round_;
     }
 
-    // Requests of members and operators; each is answered by PlannerCoreHost, now or later.
+    // Requests of members and operators. Each is answered through PlannerCoreHost, now or later.
     void acquire(Seconds now, lease::LeaseRequestId id, const lease::LeaseName& lease,
                  const lease::Member& member);
     void renew(Seconds now, lease::LeaseRequestId id, const lease::LeaseName& lease,
@@ -75,12 +77,12 @@
                  const lease::Member& member, lease::FencingToken token);
     void stop_waiting(Seconds now, lease::LeaseRequestId id, const lease::LeaseName& lease,
                       const lease::Member& member);
-    // Raises or clears an alarm, by the holder of the lease under that token.
+    // Raises or clears an alarm on behalf of the holder of the lease under `token`.
     void set_alarm(Seconds now, lease::LeaseRequestId id, const lease::LeaseName& lease,
                    lease::FencingToken token, bool raised, const std::string& key,
                    const std::string& text);
-    // Writes the document of the lease, by its holder under that token, as the one after
-    // `number` - 1.
+    // Replaces the document number `number` - 1 of the lease with this one, on behalf of the holder
+    // under `token`.
     void write_document(Seconds now, lease::LeaseRequestId id, const lease::LeaseName& lease,
                         lease::FencingToken token, std::uint64_t number, const std::string& bytes);
     void revoke(Seconds now, lease::LeaseRequestId id, const lease::LeaseName& lease);
@@ -104,11 +106,12 @@
     Seconds time_left(Seconds now, const lease::LeaseName& lease) const {
         return lease_manager_.time_left(now, lease);
     }
-    // The difference of Unix time and the clock of the calls. For people to read; decides nothing.
+    // Sets the difference between Unix time and the clock of the calls. It is used only for the
+    // displayed times in the replicated state.
     void set_unix_offset(double offset) {
         unix_offset_ = offset;
     }
-    // All that later steps depend on, as text; for model checking.
+    // A text of the whole state, for model checking: two objects with equal texts behave alike.
     std::string fingerprint(Seconds now) const;
 
   private:
@@ -139,12 +142,12 @@
     PlannerCoreSettings settings_;
     lease::LeaseStateMachine leases_;
     raft::VoterMembership voter_membership_;
-    Seconds now_ = 0;  // of the present call
+    Seconds now_ = 0;  // the time of the present call
     double unix_offset_ = 0;
     lease::LeaseManager lease_manager_;
     raft::Raft raft_;
     raft::Term leader_term_;
-    // Requests by the index of the entry that decides them.
+    // Requests that are answered once their command is applied, keyed by the index of its entry.
     std::map<raft::LogIndex, lease::LeaseRequestId> pending_decisions_;
     bool wants_round_ = false;
 };
--- a/src/planner/planner_directory.cpp
+++ b/src/planner/planner_directory.cpp
@@ -3,8 +3,10 @@
 namespace tideline::planner {
 namespace {
 
-constexpr Seconds kRouteTimeout = 60;  // s: a member that waits repeats its request more often
-constexpr Seconds kAnnouncementTimeout = 5;  // s: announcements come once a second
+// Longer than the interval at which a member in the queue repeats its request.
+constexpr Seconds kRouteTimeout = 60;
+// Planners announce themselves once a second.
+constexpr Seconds kAnnouncementTimeout = 5;
 
 template <class Map, class MapKey>
 auto find_in(Map& map, const MapKey& key) -> decltype(&map.begin()->second) {
--- a/src/planner/planner_directory.hpp
+++ b/src/planner/planner_directory.hpp
@@ -1,4 +1,4 @@
-// Where other planners and members were last heard.
+// The addresses of other planners and the routes to members, learned from the messages they send.
 #pragma once
 
 #include <map>
@@ -10,7 +10,7 @@
 
 namespace tideline::planner {
 
-// The name and address under which a planner sends its messages.
+// The name and address that a planner states as the sender of its messages.
 struct PlannerAddress {
     cluster::Name name;
     std::string address;
@@ -20,48 +20,49 @@
 struct JoiningPlanner {
     raft::ServerId server;
     std::string address;
-    // Of the last announcement.
+    // The time of the last announcement.
     Seconds heard_at = 0;
 };
 
-// Where a member was last heard.
+// The connection on which the last request of a member arrived.
 struct MemberRoute {
     cluster::LinkId link;
-    // That forwarded its request; empty: the member is connected to this planner.
+    // The planner that forwarded the request; empty if the member is connected to this planner.
     cluster::Name planner;
     Seconds heard_at = 0;
 };
 
-// Times are in seconds. One thread; no I/O, no clock.
+// Not thread-safe. This class does no I/O and reads no clock.
 class PlannerDirectory {
   public:
-    // A planner of this cluster sent a message.
+    // Records the address of a planner of this cluster, from which a message arrived.
     void heard_planner(raft::ServerId server, const cluster::Name& name,
                        const std::string& address);
-    // Null where the planner was not heard.
+    // Returns nullptr if no message of the planner arrived.
     const PlannerAddress* planner(raft::ServerId server) const;
 
-    // A planner that is not in the voter set announced itself.
+    // Records the announcement of a planner that is not in the voter set.
     void heard_announcement(Seconds now, const cluster::Name& name, raft::ServerId server,
                             const std::string& address);
-    // Null where it has not announced itself of late.
+    // Returns nullptr if the planner has not announced itself recently.
     const JoiningPlanner* joining(const cluster::Name& name) const;
-    // Those that announced themselves of late, by name.
+    // The planners that announced themselves recently.
     const std::map<cluster::Name, JoiningPlanner>& all_joining() const {
         return joining_;
     }
 
-    // A member sent a request. `forwarded_by`: the planner that it sent it to; empty: this one.
+    // Records the route of a member's request. `forwarded_by` is the planner that forwarded the
+    // request; empty if the member sent it to this planner.
     void heard_member(Seconds now, const lease::Member& member, const cluster::LinkId& link,
                       const cluster::Name& forwarded_by);
-    // Null where the member was not heard of late.
+    // Returns nullptr if the member has sent no request recently.
     const MemberRoute* route_to(const lease::Member& member) const;
 
-    // Forgets members and joining planners that were not heard for too long.
+    // Removes members and joining planners whose last message is too old.
     void remove_expired(Seconds now);
 
   private:
-    // Planners of this cluster; may differ from the addresses in the voter set.
+    // The planners of this cluster. Their addresses may differ from those in the voter set.
     std::map<raft::ServerId, PlannerAddress> planners_;
     std::map<cluster::Name, JoiningPlanner> joining_;
     std::map<lease::Member, MemberRoute> member_routes_;
--- a/src/planner/planner_messages.cpp
+++ b/src/planner/planner_messages.cpp
@@ -11,9 +11,9 @@
 using lease::lasting_now;
 using lease::LeaseRequestId;
 
-// s: between two announcements, and two removals of what is out of date
+// The interval between announcements, and between removals of expired state.
 constexpr Seconds kAnnounceInterval = 1;
-constexpr Seconds kRequestTimeout = 10;  // s
+constexpr Seconds kRequestTimeout = 10;
 
 }  // namespace
 
@@ -92,8 +92,8 @@
     }
 }
 
-// Requests and answers are forwarded: a planner that is not the leader passes a member's request to
-// the leader, and the answer back to the member.
+// Dispatches a message. A planner that is not the leader forwards a member's request to the leader,
+// and the leader's answer or notification to the member.
 void Planner::on_message(LinkId link, const wire::Word& message) {
     if (!fatal_error_.empty()) {
         return;
@@ -144,7 +144,7 @@
     handle_raft_message(*planner_core_, lasting_now(), planning);
 }
 
-// Returns whether nothing is left to be done with the message.
+// Returns whether the message is handled completely.
 bool Planner::handle_announcement(const Name& name, const std::string& address,
                                   const wire::Planning& planning) {
     if (cluster_.value == 0) {
@@ -160,7 +160,7 @@
     return true;
 }
 
-// Returns whether nothing is left to be done with the message.
+// Handles the answer to an announcement. Returns whether the message is handled completely.
 bool Planner::handle_presence(const Name& name, const wire::Planning& planning) {
     if (founds_cluster_ && !planner_core_ && planning.cluster() != 0) {
         fatal_error_ =
@@ -170,8 +170,8 @@
     return cluster_.value == 0 || planning.cluster() == cluster_.value;
 }
 
-// A planner without a cluster joins that of the leader which addresses it by the id of its disk: it
-// was admitted. False if the disk failed.
+// A planner without a cluster joins the cluster of a leader that addresses it by its server id,
+// since such a leader has admitted it. Returns false if the disk failed.
 bool Planner::join_cluster_of(const wire::Planning& planning) {
     const bool admitted = cluster_.value == 0 && planner_core_ &&
                           ServerId{planning.to()} == self() && planning.cluster() != 0 &&
@@ -190,8 +190,8 @@
     return true;
 }
 
-// Invariant: messages of another cluster never reach Raft. A planner with the disk of another
-// cluster would vote on, and receive, a log that it is no part of.
+// Invariant: messages of another cluster never reach Raft. Otherwise a planner with a disk of
+// another cluster could vote in this one and receive its log.
 bool Planner::is_of_this_cluster(const Name& name, const std::string& address,
                                  const wire::Planning& planning) {
     if (planner_core_ && planning.cluster() == cluster_.value) {
@@ -205,7 +205,7 @@
                    name.value, planning.cluster());
     }
     if (!planning.here()) {
-        send_presence(name, address);  // so that it reports the same
+        send_presence(name, address);  // lets the other planner log the same fault
     }
     return false;
 }
--- a/src/planner/planner_query.cpp
+++ b/src/planner/planner_query.cpp
@@ -3,7 +3,8 @@
 namespace tideline::planner {
 namespace {
 
-constexpr Seconds kRenewalInterval = 5;  // s: a planner forgets a watcher after three times that
+// A planner drops a subscription after three times this interval.
+constexpr Seconds kRenewalInterval = 5;
 
 wire::Word request_message(const wire::LeaseAsk& ask) {
     wire::Word message;
--- a/src/planner/planner_query.hpp
+++ b/src/planner/planner_query.hpp
@@ -1,4 +1,4 @@
-// Requests to any planner and their answers; for the command line and for tests.
+// Requests to a planner and their answers, for the command line and for tests.
 #pragma once
 
 #include <functional>
@@ -8,7 +8,8 @@
 
 namespace tideline::planner {
 
-// Calls back for each holder of each lease, now and when it changes, until the connection ends.
+// Subscribes to the holders of all leases. Calls `on_holder` once for each lease, and again
+// whenever its holder changes, until the connection ends.
 class Watch : public cluster::QueryConnection {
   public:
     Watch(net::EventLoop& loop, const net::Address& address,
@@ -25,7 +26,7 @@
     net::Timers::Id renewal_timer_ = net::Timers::kNone;
 };
 
-// One request and its answer. `answer` is set once `answered` is true.
+// Sends one request. `answer` is set once `answered` is true.
 class PlannerQuery : public cluster::QueryConnection {
   public:
     PlannerQuery(net::EventLoop& loop, const net::Address& address, const wire::LeaseAsk& ask);
--- a/src/planner/planner_requests.cpp
+++ b/src/planner/planner_requests.cpp
@@ -16,11 +16,14 @@
 using lease::LeaseRequestId;
 using lease::Member;
 
-constexpr Seconds kWatchTimeout = 15;       // s: subscribers renew their subscription before
-constexpr std::size_t kMaxWatchers = 4096;  // each is notified of each change
-// At once: members of a large cluster, some with two requests.
+// A subscription that is not renewed for this time expires.
+constexpr Seconds kWatchTimeout = 15;
+// Bounds the cost of a change, of which every subscriber is notified.
+constexpr std::size_t kMaxWatchers = 4096;
+// Enough for the members of a large cluster, some of which have two requests open.
 constexpr std::size_t kMaxPendingRequests = 20000;
-constexpr Seconds kSilentAfter = 2;  // s: a planner not heard for longer is shown as silent
+// A planner that has not replied to the leader for this time is shown as silent.
+constexpr Seconds kSilentAfter = 2;
 
 }  // namespace
 
@@ -50,7 +53,7 @@
 void Planner::finish_request(LeaseRequestId id, wire::LeaseAnswer& answer) {
     const auto found = pending_requests_.find(id);
     if (found == pending_requests_.end()) {
-        return;  // it timed out
+        return;  // the request timed out
     }
     send_answer(found->second, answer);
     pending_requests_.erase(found);
@@ -79,7 +82,8 @@
 }
 
 void Planner::holder_changed(const LeaseName& lease) {
-    // Sent from the event loop: within the call of the planner core an entry may be half applied.
+    // The notification is deferred to the event loop, because the planner core makes this call
+    // while it is still applying an entry.
     if (watchers_.empty()) {
         return;
     }
@@ -112,7 +116,7 @@
     const Seconds now = lasting_now();
     const wire::LeaseAsk& ask = message.lease_ask();
     if (pending_requests_.size() >= kMaxPendingRequests) {
-        return;  // the sender repeats it
+        return;  // the sender repeats the request
     }
     if (ask.what() == wire::LeaseAsk::WATCH) {
         return add_watcher(now, link);
@@ -164,7 +168,7 @@
     finish_request(id, answer);
 }
 
-// `stale`: this planner is not the leader and may lag behind it.
+// `stale` marks the table as that of a planner that is not the leader and may lag behind it.
 void Planner::answer_with_table(LeaseRequestId id, bool stale) {
     wire::LeaseAnswer answer;
     fill_table(*answer.mutable_table());
@@ -174,7 +178,8 @@
     finish_request(id, answer);
 }
 
-// False if no other planner is known to be the leader, or the request was forwarded already.
+// Returns false if no other planner is known to be the leader, or if the request was forwarded
+// already.
 bool Planner::forward_to_leader(LeaseRequestId id, const wire::LeaseAsk& ask) {
     if (!planner_core_ || ask.passed_on()) {
         return false;
--- a/src/planner/raft_message_codec.hpp
+++ b/src/planner/raft_message_codec.hpp
@@ -1,11 +1,11 @@
-// Between Raft's messages and their protobuf form on the wire.
+// Converts Raft messages to their protobuf form on the wire, and back.
 #pragma once
 
 #include "planner/planner_core.hpp"
 
 namespace tideline::planner {
 
-// Encodes what Raft sends. The derived class knows the connections.
+// Encodes the messages that Raft sends. The derived class sends them.
 class RaftMessageCodec : public PlannerCoreHost {
   public:
     void send(raft::ServerId to, const raft::RequestVote& message) override;
@@ -22,8 +22,8 @@
     wire::Planning header_for(raft::ServerId to, raft::Term term) const;
 };
 
-// Decodes a message of another planner and passes it to Raft. One that holds no Raft message is
-// ignored.
+// Decodes a message of another planner and passes it to Raft. Ignores it if it holds no Raft
+// message.
 void handle_raft_message(PlannerCore& planner_core, Seconds now, const wire::Planning& message);
 
 }  // namespace tideline::planner
--- a/src/planner/raft_storage.cpp
+++ b/src/planner/raft_storage.cpp
@@ -15,7 +15,7 @@
 
 constexpr const char* kFile = "planner.db";
 
-// Keys of the table `kept`. They are in files that were written by released programs.
+// Keys of the table `kept`. Files of released versions contain them, so they must not change.
 constexpr const char* kIdentityKey = "identity";
 constexpr const char* kVoteStateKey = "promise";
 constexpr const char* kSnapshotKey = "snapshot";
@@ -96,8 +96,8 @@
     state_.snapshot = snapshot_from(snapshot);
 }
 
-// Invariant: a gap or an altered entry is never taken for the end of the log. The planner would
-// otherwise lose entries that it has acknowledged.
+// Invariant: a gap or an altered entry is never mistaken for the end of the log. Otherwise the
+// planner would lose entries that it has acknowledged.
 void RaftStorage::read_entries() {
     const std::uint64_t snapshot_index = state_.snapshot.last_included_index.value;
     Statement rows(database_, "SELECT at, bytes, sum FROM log ORDER BY at");
@@ -113,8 +113,8 @@
         }
         state_.entries.push_back(entry_from(entry));
     }
-    // The last index is stored besides: rows may be lost with a page that the table no longer
-    // refers to.
+    // The last index is stored separately, because rows at the end may be lost together with a page
+    // that the table no longer refers to.
     const auto last_index = get(kLastIndexKey);
     if (last_index && *last_index != std::to_string(snapshot_index + state_.entries.size())) {
         fail_damaged("its log ends before what was stored");
@@ -189,7 +189,7 @@
     }
 }
 
-// Returns the last index of the log where the request sets it.
+// Returns the last index of the log if the request changes it.
 std::optional<std::uint64_t> RaftStorage::write_one(const raft::PersistRequest& request) {
     std::optional<std::uint64_t> last_index;
     if (request.vote_state) {
--- a/src/planner/raft_storage.hpp
+++ b/src/planner/raft_storage.hpp
@@ -1,5 +1,5 @@
-// The disk of a planner: vote state, log and snapshot in one SQLite file of its folder. Each row
-// has a checksum of its own, since SQLite detects a torn write but not an altered byte.
+// The persistent storage of a planner: its vote state, log and snapshot in one SQLite file. Each
+// row has a checksum, because SQLite detects a torn write but not an altered byte.
 #pragma once
 
 #include <optional>
@@ -15,9 +15,9 @@
   public:
     using JournalMode = storage::JournalMode;
 
-    // Opens the file of the folder, or creates it with `fresh_disk` as the id of the disk. Throws
-    // storage::DamagedFileError where it is damaged, and std::runtime_error where it can't be used
-    // or belongs to another planner; the text is one line for the operator.
+    // Opens the file in the folder, or creates it with `fresh_disk` as the id of the disk. Throws
+    // storage::DamagedFileError if the file is damaged, and std::runtime_error if it can't be used
+    // or belongs to another planner. The message is one line for the operator.
     RaftStorage(const std::string& folder, const raft::Name& name, std::uint64_t fresh_disk,
                 JournalMode journal_mode = JournalMode::rollback);
     ~RaftStorage() = default;
@@ -27,19 +27,20 @@
     raft::Disk disk() const {
         return disk_;
     }
-    // The cluster that the disk belongs to; 0: none.
+    // The cluster that the disk belongs to; 0 if none.
     raft::ClusterId cluster() const {
         return cluster_;
     }
-    // What was on the disk when it was opened.
+    // The state that was on the disk when it was opened.
     const raft::PersistentState& persistent_state() const {
         return state_;
     }
-    // Assigns the disk to a cluster and writes its first state, in one transaction: with half of it
-    // a planner could lead without a cluster, or belong to one without a log.
+    // Assigns the disk to a cluster and writes the initial state in one transaction. With only one
+    // of the two a planner could become leader without a cluster, or belong to a cluster without a
+    // log.
     void join_cluster(raft::ClusterId cluster, const raft::PersistRequest& first = {});
-    // Writes all requests in one transaction; it is on the disk when this returns. Throws
-    // std::runtime_error where that fails: then nothing that follows from it may be sent.
+    // Writes all requests in one transaction, which is durable when this returns. Throws
+    // std::runtime_error on failure; then no message that depends on the requests may be sent.
     void persist(const std::vector<raft::PersistRequest>& requests);
 
   private:
--- a/src/planner/storage_codec.cpp
+++ b/src/planner/storage_codec.cpp
@@ -13,7 +13,7 @@
 using raft::Term;
 using raft::Voter;
 
-// A number that the enum does not have, as of a newer program, becomes the last one.
+// A value that the enum does not have, as a newer version may send it, becomes the last enumerator.
 template <class Kind>
 Kind within(std::uint32_t value, Kind most) {
     return static_cast<Kind>(std::min(value, static_cast<std::uint32_t>(most)));
--- a/src/planner/storage_codec.hpp
+++ b/src/planner/storage_codec.hpp
@@ -1,5 +1,5 @@
-// Between the types of the log and of leases and their protobuf form, on the wire and on the disk;
-// and the application of a command to the replicated state.
+// Converts the types of the log and of leases to their protobuf form on the wire and on the disk,
+// and back. Also applies a command to the replicated state.
 #pragma once
 
 #include "lease/lease_state_machine.hpp"
@@ -20,20 +20,22 @@
 Snapshot snapshot_from(const wire::Snapshot& from);
 
 void put(const lease::LeaseStateMachine& leases, wire::PlannerTable& to);
-// The replicated state as bytes of a snapshot, and back. restore returns false, and changes
-// nothing, where the bytes can't be parsed.
+// Serialize the replicated state for a snapshot, and restore it. restore returns false and changes
+// nothing if the bytes can't be parsed.
 std::string state_of(const lease::LeaseStateMachine& leases,
                      const raft::VoterMembership& voter_membership);
 bool restore(const std::string& state, lease::LeaseStateMachine& leases,
              raft::VoterMembership& voter_membership);
-// What applying a command did. `lease` is empty if it was not about a lease.
+// The effect of applying a command.
 struct Effect {
-    lease::LeaseName lease;
-    bool take = false;
+    lease::LeaseName lease;  // empty if the command was not for a lease
+    bool take = false;       // the command was to acquire the lease
     lease::Member member;
-    lease::ChangeResult change = lease::ChangeResult::done;  // of an alarm, or of what was written
-    bool wrote = false;
+    // The result of a command for an alarm or a document.
+    lease::ChangeResult change = lease::ChangeResult::done;
+    bool wrote = false;  // the command replaced the document of the lease
 };
+// Applies the serialized command of the entry at index `at`.
 Effect apply(const std::string& bytes, raft::LogIndex at, lease::LeaseStateMachine& leases,
              raft::VoterMembership& voter_membership);
 
--- a/src/raft/messages.hpp
+++ b/src/raft/messages.hpp
@@ -1,4 +1,5 @@
-// The messages of Raft, named as in the paper. `term` is the sender's term unless stated otherwise.
+// The Raft messages, named as in the Raft paper. `term` is the sender's term unless stated
+// otherwise.
 #pragma once
 
 #include <vector>
@@ -7,8 +8,8 @@
 
 namespace tideline::raft {
 
-// A candidate asks for a vote; with `pre_vote`, whether it would get it (section 9.6 of the
-// dissertation). A pre-vote carries the term after the sender's own.
+// A candidate requests a vote. With `pre_vote` the sender asks whether the receiver would grant the
+// vote (section 9.6 of Ongaro's dissertation), and `term` is the term after the sender's own.
 struct RequestVote {
     Term term;
     LogIndex last_log_index;
@@ -20,7 +21,7 @@
     bool vote_granted = false;
     bool pre_vote = false;
 };
-// Without entries: a heartbeat.
+// The leader replicates log entries. A message without entries is a heartbeat.
 struct AppendEntries {
     Term term;
     LogIndex prev_log_index;
@@ -29,6 +30,7 @@
     LogIndex leader_commit;
     Round round;
 };
+// The leader sends a snapshot in place of entries that its log no longer has.
 struct InstallSnapshot {
     Term term;
     Snapshot snapshot;
@@ -38,10 +40,10 @@
 struct AppendEntriesReply {
     Term term;
     bool success = false;
-    // success: the highest index known to match the leader's log, persisted.
-    // Otherwise: the index after which the leader should try next.
+    // If `success` is set, the highest index up to which the persisted log matches the leader's.
+    // Otherwise the index that the leader should use as prev_log_index next.
     LogIndex match_index;
-    Round round;  // of the message that is answered
+    Round round;  // the round of the message that this one replies to
 };
 
 }  // namespace tideline::raft
--- a/src/raft/persistence_tracker.hpp
+++ b/src/raft/persistence_tracker.hpp
@@ -1,5 +1,5 @@
-// Tracks what a server has asked to be written to its disk and what is known to be there. Collects
-// changes into one PersistRequest; does no I/O itself.
+// Collects a server's changes into requests to write them to its disk, and tracks which of these
+// requests are durable. It does no I/O itself.
 #pragma once
 
 #include <map>
@@ -10,25 +10,27 @@
 
 class PersistenceTracker {
   public:
-    // `persisted_index`: the end of the log that was read from the disk.
+    // `persisted_index` is the last index of the log that was read from the disk.
     explicit PersistenceTracker(LogIndex persisted_index) : persisted_index_(persisted_index) {}
 
-    // Changes for the next request.
+    // Each of these adds a change to the next request.
     void set_vote_state(const VoteState& vote_state);
     void append(LogIndex index, const LogEntry& entry);
     void truncate_from(LogIndex from);
-    // A snapshot of this server's own log.
+    // Adds a snapshot that this server took of its own log.
     void compact(const Snapshot& snapshot);
-    // A snapshot from the leader. `discard_log`: the log does not agree with it and is removed;
-    // then of the log only what is up to `former_snapshot_index` counts as persisted.
+    // Adds a snapshot from the leader. If `discard_log` is set, the log conflicts with the snapshot
+    // and is removed; until the request is durable, only `former_snapshot_index` counts as
+    // persisted.
     void install(const Snapshot& snapshot, bool discard_log, LogIndex former_snapshot_index);
 
     bool has_changes() const {
         return has_changes_;
     }
-    // Starts the next request with all changes so far. `last_index`: the end of the log now.
+    // Returns a request with all changes since the last one. `last_index` is the last index of the
+    // log at this moment.
     PersistRequest start_request(LogIndex last_index);
-    // The request and all before it are on the disk.
+    // Records that the request and all requests before it are durable.
     void on_persisted(PersistId id);
 
     LogIndex persisted_index() const {
@@ -47,7 +49,8 @@
     PersistId last_requested_;
     PersistId last_persisted_;
     LogIndex persisted_index_;
-    std::map<PersistId, LogIndex> in_flight_;  // the end of the log with each request
+    // The last index of the log once each request is durable.
+    std::map<PersistId, LogIndex> in_flight_;
 };
 
 }  // namespace tideline::raft
--- a/src/raft/quorum.hpp
+++ b/src/raft/quorum.hpp
@@ -1,4 +1,4 @@
-// What a majority of the voters has reached.
+// Majorities of a voter set.
 #pragma once
 
 #include <algorithm>
@@ -15,7 +15,7 @@
         std::count_if(voters.begin(), voters.end(), [](auto& each) { return each.second.votes; }));
 }
 
-// How many of the voters make a majority. Any two majorities of one set have a member in common.
+// Returns how many voters make a majority. Any two majorities of one set have a voter in common.
 inline std::size_t majority_of(const VoterSet& voters) {
     return voting_count(voters) / 2 + 1;
 }
@@ -25,8 +25,8 @@
     return found != voters.end() && found->second.votes;
 }
 
-// The highest value that a majority of the voters has reached. `value_of(ServerId)` is asked of
-// each server that votes. The default value if nobody votes.
+// Returns the highest value that a majority of the voters has reached, or Value{} if the set has no
+// voter. `value_of(ServerId)` returns the value of one voter.
 template <class Value, class ValueOf>
 Value reached_by_majority(const VoterSet& voters, ValueOf value_of) {
     std::vector<Value> values;
--- a/src/raft/raft.cpp
+++ b/src/raft/raft.cpp
@@ -19,7 +19,7 @@
 }  // namespace
 
 ServerId server_id_of(const Name& name, const Disk& disk) {
-    // Odd, so that it is never 0.
+    // The lowest bit is set because 0 means no server.
     return ServerId{XXH3_64bits_withSeed(name.value.data(), name.value.size(), disk.value) | 1};
 }
 
@@ -90,8 +90,8 @@
     if (now < heartbeat_due_) {
         return;
     }
-    // A leader that is cut off from the majority steps down: otherwise clients that reach only this
-    // server would wait for it without end.
+    // A leader that is partitioned from the majority steps down. Otherwise clients that can reach
+    // only this server would wait for it forever.
     if (!hears_majority(now)) {
         reset_election_timer(now);
         return step_down(StepDownReason::no_quorum);
@@ -101,7 +101,7 @@
     persist_changes();
 }
 
-// Holds between any two calls.
+// Checks conditions that hold between any two calls of public methods.
 void Raft::check_invariants() const {
     assert(log_.snapshot_index() <= last_applied_);
     assert(last_applied_ <= commit_index_);
@@ -141,7 +141,7 @@
         pending_replies_.pop_front();
         std::visit(
             [&](const auto& message) {
-                // One of an earlier term is of no use to anybody.
+                // The receiver would ignore a reply of an earlier term.
                 if (message.term == vote_state_.term) {
                     transport_->send(reply.to, message);
                 }
--- a/src/raft/raft.hpp
+++ b/src/raft/raft.hpp
@@ -1,10 +1,10 @@
 // Raft (Ongaro and Ousterhout, 2014, and Ongaro's dissertation) for the planners' log: leader
 // election with pre-vote, log replication, snapshots, membership changes of one voter at a time,
-// and a leader that steps down when it hears no majority.
+// and a leader that steps down when it gets no replies from a majority.
 //
-// No I/O and no clock. Each call carries the time in seconds of a clock that never goes back, and
-// acts through RaftTransport and RaftStateMachine before it returns. Not thread-safe: all calls
-// come from the thread of the event loop.
+// This class does no I/O and reads no clock. Each call passes the time in seconds of a monotonic
+// clock, and takes effect through RaftTransport and RaftStateMachine before it returns. It is not
+// thread-safe; all calls come from the thread of the event loop.
 #pragma once
 
 #include <deque>
@@ -21,88 +21,92 @@
 
 namespace tideline::raft {
 
-// How a server sends messages and writes to its disk. No method may call back into Raft.
+// Sends a server's messages and writes to its disk. No method may call back into Raft.
 class RaftTransport {
   public:
     virtual ~RaftTransport() = default;
-    // Messages may be lost, repeated, delayed and reordered.
+    // Messages may be lost, duplicated, delayed and reordered.
     virtual void send(ServerId to, const RequestVote& message) = 0;
     virtual void send(ServerId to, const RequestVoteReply& message) = 0;
     virtual void send(ServerId to, const AppendEntries& message) = 0;
     virtual void send(ServerId to, const InstallSnapshot& message) = 0;
     virtual void send(ServerId to, const AppendEntriesReply& message) = 0;
-    // Writes to the disk, in the order of the ids. Raft::on_persisted is called once it is there.
+    // Writes requests to the disk in the order of their ids. The transport calls
+    // Raft::on_persisted once the request is durable.
     virtual void persist(PersistId id, const PersistRequest& request) = 0;
-    // An event for the operator's log.
+    // Writes an event to the operator's log.
     virtual void log_event(const std::string& text) = 0;
 };
 
-// What the committed entries are applied to. No method may call back into Raft.
+// The replicated state machine. No method may call back into Raft.
 class RaftStateMachine {
   public:
     virtual ~RaftStateMachine() = default;
-    // A committed entry; called once for each index, in order.
+    // Applies a committed entry. Called once for each index, in order.
     virtual void apply(LogIndex index, const LogEntry& entry) = 0;
-    // Replaces the state by that of the snapshot.
+    // Replaces the state with that of the snapshot.
     virtual void restore(const Snapshot& snapshot) = 0;
 };
 
 struct RaftSettings {
     Seconds heartbeat_interval = 0.1;
-    // A server that hears no leader for this long starts an election; drawn between the two.
+    // A server that has not heard from a leader for the election timeout starts an election. The
+    // timeout is drawn at random from this range.
     Seconds election_timeout_min = 0.5;
     Seconds election_timeout_max = 1.0;
-    std::size_t max_entries = 128;  // in one AppendEntries message
-    bool pre_vote = true;           // false only where a test searches every order of elections
+    std::size_t max_entries = 128;  // the most entries in one AppendEntries message
+    // Only the model checker turns this off, to search elections in every order.
+    bool pre_vote = true;
     bool operator==(const RaftSettings&) const = default;
 };
 
 class Raft {
   public:
-    // `state` is what was on the disk. `transport` and `state_machine` have to outlive this object.
+    // `state` was read from the disk. `transport` and `state_machine` have to outlive this object.
     Raft(RaftTransport& transport, RaftStateMachine& state_machine, const RaftSettings& settings,
          ServerId self, PersistentState state, std::uint64_t seed, Seconds now);
-    // A copy of `other` that acts through other interfaces; for simulation and model checking.
+    // Copies `other`, but uses other interfaces; for simulation and model checking.
     Raft(const Raft& other, RaftTransport& transport, RaftStateMachine& state_machine);
 
-    // When tick has to be called next; infinite if never.
+    // Returns the time at which tick has to be called next; infinity if it need not be called.
     Seconds due() const;
     void tick(Seconds now);
-    // Starts an election, as tick does once the leader was not heard for the election timeout.
+    // Starts an election. tick calls this once the election timeout has elapsed.
     void on_election_timeout(Seconds now);
 
-    // A message from another server. `to` is the server that it was addressed to; one for a former
-    // disk of this planner is ignored.
+    // Handles a message from another server. `to` is the server that it was addressed to; a message
+    // to a former server id of this planner, from before its disk was replaced, is ignored.
     void handle(Seconds now, ServerId from, ServerId to, const RequestVote& message);
     void handle(Seconds now, ServerId from, ServerId to, const RequestVoteReply& message);
     void handle(Seconds now, ServerId from, ServerId to, const AppendEntries& message);
     void handle(Seconds now, ServerId from, ServerId to, const InstallSnapshot& message);
     void handle(Seconds now, ServerId from, ServerId to, const AppendEntriesReply& message);
-    // The request and all before it are on the disk.
+    // The transport calls this once the request and all requests before it are durable.
     void on_persisted(Seconds now, PersistId id);
 
-    // Appends a command. Returns its index; 0 if this server is not the leader. The command may
-    // still be lost if another server becomes leader before it is committed.
+    // Appends a command to the log and returns its index, or 0 if this server is not the leader.
+    // The command may still be lost if another server becomes leader before it is committed.
     LogIndex propose(std::string command);
-    // Appends a new voter set that differs by the vote of at most one server. False, and nothing is
-    // done, if it differs by more, if this server is not a ready leader, or if the last change is
-    // not committed yet.
+    // Appends a new voter set, in which the vote of at most one server may change. Returns false
+    // and does nothing if more votes change, if this server is not a ready leader, or if the last
+    // change is not committed yet.
     bool change_voters(const VoterSet& voters);
-    // Starts a round of heartbeats (ReadIndex of the dissertation, section 6.4). Once
-    // confirmed_round reaches the returned round, no other server was leader of a later term when
-    // this call was made.
+    // Starts a round of heartbeats (the ReadIndex protocol, section 6.4 of the dissertation). Once
+    // confirmed_round reaches the returned round, it is certain that no other server was leader of
+    // a later term when this call was made.
     Round start_round();
-    // Replaces the applied entries up to `upto` by a snapshot with `state`.
+    // Replaces the applied entries up to `upto` with a snapshot that holds `state`.
     void compact(LogIndex upto, std::string state);
 
     bool is_leader() const {
         return role_ == Role::leader;
     }
-    // Leader, and has applied all entries that were committed before its term.
+    // Whether this server is the leader and has applied all entries that were committed before its
+    // term.
     bool is_ready_leader() const {
         return is_leader() && last_applied_ >= term_start_index_;
     }
-    // The newest round that a majority has answered.
+    // The newest round that a majority of the voters has replied to.
     Round confirmed_round() const;
     Round current_round() const {
         return round_;
@@ -110,7 +114,7 @@
     ServerId self() const {
         return self_;
     }
-    // The leader as far as this server knows; 0: none.
+    // The leader of the current term as far as this server knows; 0 if it knows of none.
     ServerId leader() const {
         return leader_;
     }
@@ -133,29 +137,32 @@
     LogIndex snapshot_index() const {
         return log_.snapshot_index();
     }
-    // The highest index known to be persisted at the server. Of others only a leader knows it.
+    // The highest index up to which the server is known to have persisted this server's log. Only a
+    // leader knows it for other servers.
     LogIndex match_index(ServerId server) const;
-    // Time since the last reply of the server; infinite if none. Only a leader knows it.
+    // The time since the last reply of the server; infinity if there was none. Only a leader knows
+    // it for other servers.
     Seconds time_since_reply(Seconds now, ServerId server) const;
-    // The entry at the index; nullptr where it is in the snapshot or past the end.
+    // The entry at the index; nullptr if the snapshot has replaced it or it is past the end.
     const LogEntry* entry(LogIndex index) const {
         return log_.entry(index);
     }
-    // All that later steps depend on except for the clocks, as text; for model checking.
+    // A text of the whole state except for the timers, for model checking: two objects with equal
+    // texts behave alike.
     std::string fingerprint() const;
 
   private:
     enum class Role { follower, pre_candidate, candidate, leader };
     enum class StepDownReason { other_leader_or_higher_term, no_quorum, removed_from_voters };
-    // What a leader knows of a follower.
+    // A leader's view of the replication to one follower.
     struct Progress {
         LogIndex next_index;
         LogIndex match_index;
         Round acked_round;
         Seconds last_reply_at = -1;
-        bool in_flight = false;  // entries or a snapshot were sent and not answered
+        bool in_flight = false;  // entries or a snapshot were sent and not replied to
     };
-    // A reply that may be sent once a write is on the disk.
+    // A reply that is sent once the write `after` is durable.
     struct PendingReply {
         PersistId after;
         ServerId to;
@@ -211,18 +218,18 @@
     LogIndex commit_index_;
     LogIndex last_applied_;
 
-    // Of a candidate.
+    // State of a candidate, and of a server in the pre-vote phase.
     std::set<ServerId> votes_granted_;
-    bool awaits_own_vote_ = false;  // its own vote is not on the disk yet
+    bool awaits_own_vote_ = false;  // the candidate's own vote is not durable yet
 
-    // Of a leader.
-    LogIndex term_start_index_;  // its first entry
+    // State of a leader.
+    LogIndex term_start_index_;  // the first entry that it appended in its term
     Round round_;
     std::map<ServerId, Progress> progress_;
     Seconds heartbeat_due_ = 0;
     Seconds leader_since_ = 0;
 
-    // Of the others.
+    // State of a server that is not the leader.
     Seconds last_leader_contact_ = -1e18;
     Seconds election_deadline_ = 0;
 };
--- a/src/raft/raft_log.hpp
+++ b/src/raft/raft_log.hpp
@@ -1,5 +1,5 @@
-// A server's log in memory: the snapshot, the entries after it, and the voter sets that they set.
-// No I/O; does not know what is persisted or committed.
+// The in-memory log of a server: the snapshot, the entries after it, and the voter sets that those
+// entries introduced. It does no I/O and does not know which entries are durable or committed.
 #pragma once
 
 #include <deque>
@@ -13,7 +13,7 @@
 
 class RaftLog {
   public:
-    // `entries` begin right after the snapshot.
+    // The first of `entries` directly follows the snapshot.
     RaftLog(Snapshot snapshot, std::vector<LogEntry> entries);
 
     const Snapshot& snapshot() const {
@@ -28,26 +28,29 @@
     Term last_term() const {
         return term_at(last_index());
     }
-    // The entry at the index; nullptr where it is in the snapshot or past the end.
+    // The entry at the index; nullptr if the snapshot has replaced it or it is past the end.
     const LogEntry* entry(LogIndex index) const;
-    // The term of the entry at the index; term 0 where it is not known.
+    // The term of the entry at the index; 0 if the log does not know it.
     Term term_at(LogIndex index) const;
     const std::deque<LogEntry>& entries() const {
         return entries_;
     }
 
-    // The newest voter set, committed or not, as the paper requires.
+    // The voter set in force: the newest one, whether its entry is committed or not, as the Raft
+    // paper requires.
     const VoterSet& voters() const;
-    // Whether an entry after the index changes the voter set.
+    // Whether any entry after the index changes the voter set.
     bool changes_voters_after(LogIndex index) const;
 
     void append(LogEntry entry);
-    // Removes the entry at `from` and all after it.
+    // Removes the entry at `from` and all entries after it.
     void truncate_from(LogIndex from);
-    // Replaces the entries up to `upto` by the state that they led to.
+    // Replaces the entries up to `upto` with a snapshot that holds `state`, the result of applying
+    // them.
     void compact(LogIndex upto, std::string state);
-    // Takes a leader's snapshot. Keeps the entries after it if the log agrees with it, and removes
-    // all entries otherwise. Returns whether the log agreed.
+    // Installs a snapshot from the leader. If the log has the snapshot's last entry with the same
+    // term, the entries after it are kept; otherwise all entries are removed. Returns whether they
+    // were kept.
     bool install(const Snapshot& snapshot);
 
   private:
@@ -55,7 +58,7 @@
 
     Snapshot snapshot_;
     std::deque<LogEntry> entries_;
-    std::map<LogIndex, VoterSet> voter_sets_;  // by the index of the entry that set them
+    std::map<LogIndex, VoterSet> voter_sets_;  // keyed by the index of the entry with the set
 };
 
 }  // namespace tideline::raft
--- a/src/raft/raft_membership.cpp
+++ b/src/raft/raft_membership.cpp
@@ -7,7 +7,7 @@
 namespace tideline::raft {
 namespace {
 
-// How many servers vote in one set and not in the other.
+// Counts the servers that have a vote in one set but not in the other.
 std::size_t changed_votes(const VoterSet& before, const VoterSet& after) {
     VoterSet all = before;
     all.insert(after.begin(), after.end());
@@ -23,8 +23,8 @@
 }  // namespace
 
 bool Raft::change_voters(const VoterSet& wanted) {
-    // Invariant: one change at a time, and only after an entry of this term is committed. Otherwise
-    // two majorities could have no member in common.
+    // Invariant: there is at most one uncommitted change, and it starts only after an entry of this
+    // term is committed. Otherwise two majorities could have no voter in common.
     if (!is_ready_leader() || log_.changes_voters_after(commit_index_)) {
         return false;
     }
--- a/src/raft/raft_snapshot.cpp
+++ b/src/raft/raft_snapshot.cpp
@@ -1,4 +1,4 @@
-// Snapshots: compaction of a server's own log, and InstallSnapshot from the leader.
+// Snapshots: compaction of a server's own log, and installation of the leader's snapshot.
 #include <fmt/format.h>
 
 #include <utility>
@@ -33,7 +33,7 @@
 }
 
 void Raft::compact(LogIndex upto, std::string state) {
-    // Only what is applied is in the state.
+    // The state covers only entries that were applied.
     if (upto <= log_.snapshot_index() || upto > last_applied_) {
         return;
     }
--- a/src/raft/voter_membership.cpp
+++ b/src/raft/voter_membership.cpp
@@ -9,7 +9,7 @@
     known_.insert(name);
 }
 void VoterMembership::remove(const Name& name) {
-    // The last planner stays: without any, no lease could ever be granted again.
+    // The last planner is never removed: without a planner no lease could be granted again.
     if (admitted_.size() <= 1) {
         return;
     }
@@ -36,9 +36,9 @@
             ready = server;
         }
     }
-    // Invariant: the former and the present disk of a planner never both vote. A disk that is gone
-    // still counts in every majority; it loses its vote before its successor gets one, but only
-    // once the successor has caught up.
+    // Invariant: the servers of a planner's former and present disk never vote at the same time. A
+    // server whose disk is lost still counts towards the size of a majority. It is removed before
+    // its successor gets a vote, but only once the successor has caught up.
     for (const auto& [server, voter] : now) {
         if (admitted_.contains(server)) {
             continue;
--- a/src/raft/voter_membership.hpp
+++ b/src/raft/voter_membership.hpp
@@ -1,5 +1,6 @@
-// Which planners are to be voters, and the next single step towards that. Part of the replicated
-// state: all planners apply the same commands to it. No I/O and no clock.
+// Tracks which planners are to be voters, and computes the next single change of the voter set
+// towards that. It is part of the replicated state: all planners apply the same commands to it. It
+// does no I/O and reads no clock.
 #pragma once
 
 #include <functional>
@@ -12,21 +13,26 @@
 
 class VoterMembership {
   public:
+    // Admits a planner on a disk, in place of any server with the same name.
     void admit(const Name& name, ServerId server, const std::string& address);
+    // Removes the planner, unless it is the only one.
     void remove(const Name& name);
-    // The voter set after the next step: an admitted server becomes a learner, then the former disk
-    // of its name loses its vote, then it votes; servers that are no longer admitted are removed
-    // last. Nothing where no step is left, or it has to wait until a learner has caught up.
+    // Returns the voter set after the next change. An admitted server first becomes a learner. Once
+    // it has caught up, the server of the planner's former disk is removed, and only then does the
+    // new server get its vote. Servers whose planner is no longer admitted are removed before a
+    // learner gets a vote. Returns nothing if no change is left, or if the next one has to wait
+    // until a learner has caught up.
     std::optional<VoterSet> step(const VoterSet& now,
                                  const std::function<bool(ServerId)>& caught_up) const;
-    // Whether the name was ever admitted: then only an operator may admit it with another disk.
+    // Whether a planner of this name was ever admitted. If so, only an operator may admit it with
+    // another disk.
     bool known(const Name& name) const {
         return known_.contains(name);
     }
     bool admitted(ServerId server) const {
         return admitted_.contains(server);
     }
-    // The voter set once all steps are done.
+    // The voter set once all changes are done.
     const VoterSet& wanted() const {
         return admitted_;
     }
@@ -36,8 +42,8 @@
     void restore(VoterSet admitted, std::set<Name> known);
 
   private:
-    VoterSet admitted_;  // all of them are to vote
-    std::set<Name> known_;
+    VoterSet admitted_;     // all of these are to become voters
+    std::set<Name> known_;  // the names of all planners that were ever admitted
 };
 
 }  // namespace tideline::raft
--- a/src/slow_start/slow_start_coordinator.cpp
+++ b/src/slow_start/slow_start_coordinator.cpp
@@ -7,13 +7,13 @@
 namespace tideline::slow_start {
 namespace {
 
-// Of what would overload an endpoint, as in each sidecar's own limit.
+// The limit as a share of the load that would overload an endpoint, as in each sidecar's own limit.
 constexpr double kSafetyFactor = 0.6;
-// An allocation is valid for so many intervals: then only the member's own limit holds.
+// An allocation is valid for this many intervals. After that only the member's own limit applies.
 constexpr double kValidIntervals = 4;
-// A member whose last report is older, in s, counts as sending nothing.
+// A member whose last report is older counts as sending nothing.
 constexpr Seconds kMaxReportAge = 5;
-// The member that gets the first of the remaining attempts changes once in so many ticks.
+// The remaining attempts start with another member after this many ticks.
 constexpr std::size_t kTicksPerTurn = 4;
 
 }  // namespace
@@ -42,7 +42,7 @@
 void SlowStartCoordinator::lease_acquired(Seconds now) {
     holds_lease_ = true;
     next_allocation_ = now;
-    // What the lease holder before allocated is not known; it expires by itself.
+    // The allocations of the former lease holder are not known. They expire by themselves.
     for (auto& [id, endpoint] : endpoints_) {
         endpoint.allocations.clear();
     }
@@ -73,9 +73,9 @@
     }
 }
 
-// Where a share moves from one member to another, both could send it within the same window. So a
-// limit that was lowered stays in force until a window is over, and only what is free then is
-// allocated.
+// While a share moves from one member to another, both could use it within the same window. So a
+// lowered limit counts as in force for another window, and only attempts that are not in force
+// elsewhere are allocated.
 void SlowStartCoordinator::allocate_endpoint(Seconds now, const EndpointId& id,
                                              Endpoint& endpoint) {
     const double total_attempts = total_recent_attempts();
@@ -88,7 +88,8 @@
     for (const auto& [name, target] : targets) {
         Allocation& allocation = endpoint.allocations[name];
         if (target > allocation.limit) {
-            // The endpoint's limit may be lower than when the limits in force were allocated.
+            // The clamp is needed because the endpoint's limit may have dropped since the limits in
+            // force were allocated.
             const double others = in_force - allocation.in_force;
             const double raised = std::clamp(std::floor(limit - others), allocation.limit, target);
             in_force += std::max(0.0, raised - allocation.in_force);
@@ -99,7 +100,8 @@
     }
 }
 
-// No shares can be computed: only each member's own limit holds.
+// Ends all allocations of the endpoint, since no shares can be computed without recent attempts.
+// Then only each member's own limit applies.
 void SlowStartCoordinator::end_allocations(Seconds now, const EndpointId& id, Endpoint& endpoint) {
     for (auto& [name, allocation] : endpoint.allocations) {
         host_.allocate(name, id, 0, 0);
@@ -110,8 +112,9 @@
     }
 }
 
-// Whole attempts, in proportion to what each member sends; the rest goes to one member after the
-// other in turn.
+// Returns the limits that the members should have: whole attempts in proportion to what each member
+// sends. The remaining attempts go to the members one by one, starting with a different member
+// every few ticks.
 std::map<Name, double> SlowStartCoordinator::target_limits(double endpoint_limit,
                                                            double total_attempts) const {
     std::map<Name, double> targets;
@@ -129,7 +132,7 @@
     return targets;
 }
 
-// Lowers the limits that are above their targets. Returns the sum of the limits in force.
+// Lowers the limits that are above their targets, and returns the sum of the limits in force.
 double SlowStartCoordinator::lower_limits(Seconds now, const std::map<Name, double>& targets,
                                           Allocations& allocations) const {
     double in_force = 0;
--- a/src/slow_start/slow_start_coordinator.hpp
+++ b/src/slow_start/slow_start_coordinator.hpp
@@ -1,7 +1,8 @@
-// Slow start across the cluster: how much all members together may send to each freshly started
-// endpoint, shared out by the member that holds the lease. Each member takes the lower of its share
-// and its own slow-start limit; without a share only its own limit holds. No I/O and no clock: each
-// call carries the time in seconds, which never goes back.
+// Slow start across the cluster: limits how many attempts all members together may send to each
+// newly started endpoint. The member that holds the slow-start lease allocates a share of the limit
+// to each member. A member uses the lower of its share and its own slow-start limit; without a
+// share only its own limit applies. This class does no I/O and reads no clock; each call passes the
+// time in seconds of a monotonic clock.
 #pragma once
 
 #include <map>
@@ -17,20 +18,25 @@
 class SlowStartCoordinatorHost {
   public:
     virtual ~SlowStartCoordinatorHost() = default;
-    // That member may send so many attempts to the endpoint within any one window, for `valid`
-    // seconds.
+    // Allows the member to send up to `max_attempts` to the endpoint within any one window. The
+    // allocation is valid for `valid` seconds.
     virtual void allocate(const Name& member, const EndpointId& endpoint, double max_attempts,
                           Seconds valid) = 0;
 };
 
-// Fixed at start. Seconds, unless said otherwise.
+// The settings don't change after the start.
 struct SlowStartSettings {
-    Seconds window = 1;  // of the slow-start limit
-    double overload_multiple =
-        4;  // of its present capacity: an endpoint sent more within a window fails
-    double cold_share = 0.5;  // of its capacity, when it starts
+    // The window for which the slow-start limit counts attempts.
+    Seconds window = 1;
+    // An endpoint fails if it is sent more than this multiple of its even share of the attempts,
+    // scaled by its present capacity, within a window.
+    double overload_multiple = 4;
+    // The share of its capacity that an endpoint has when it starts.
+    double cold_share = 0.5;
+    // The time after which an endpoint has its full capacity.
     Seconds warm_up_time = 5;
-    Seconds interval = 0.5;  // between two allocations
+    // The interval between allocations.
+    Seconds interval = 0.5;
 };
 
 class SlowStartCoordinator {
@@ -38,7 +44,8 @@
     SlowStartCoordinator(SlowStartCoordinatorHost& host, const SlowStartSettings& settings)
         : host_(host), settings_(settings) {}
 
-    void lease_acquired(Seconds now);  // this member holds the lease now
+    // This member acquired the lease; from now on it allocates the limits.
+    void lease_acquired(Seconds now);
     void lease_lost() {
         holds_lease_ = false;
     }
@@ -51,18 +58,19 @@
     void ready_endpoints(std::size_t count) {
         ready_endpoints_ = count;
     }
-    // What a member reports that it sent to all endpoints within the last window.
+    // Handles a member's report of how many attempts it sent to all endpoints within the last
+    // window.
     void receive_recent_attempts(Seconds now, const Name& member, double in_window);
     void tick(Seconds now);
     Seconds due() const;
-    // The limit over all members: attempts to the endpoint within any one window.
+    // The most attempts that all members together may send to the endpoint within any one window.
     double endpoint_limit(Seconds now, const EndpointId& endpoint) const;
 
   private:
-    // Attempts that a member may send to an endpoint within a window.
+    // The attempts that a member may send to an endpoint within a window.
     struct Allocation {
-        double limit = 0;             // last sent to the member
-        double in_force = 0;          // the highest limit that it may still use
+        double limit = 0;             // the limit that was last sent to the member
+        double in_force = 0;          // the highest limit that the member may still use
         Seconds lowered_at = kNever;  // when `limit` was lowered last
     };
     using Allocations = std::map<Name, Allocation>;
@@ -71,7 +79,7 @@
         Allocations allocations;
     };
     struct MemberLoad {
-        double recent_attempts = 0;  // to all endpoints, within a window
+        double recent_attempts = 0;  // attempts to all endpoints within a window
         Seconds reported_at = 0;
     };
     void allocate_endpoint(Seconds now, const EndpointId& id, Endpoint& endpoint);
--- a/src/storage/sqlite_database.cpp
+++ b/src/storage/sqlite_database.cpp
@@ -11,7 +11,7 @@
 namespace tideline::storage {
 namespace {
 
-// Short, since another process that has the file open is a mistake and not a queue.
+// Short, because another process that has the file open is a mistake, and will not close it soon.
 constexpr int kBusyTimeoutMs = 500;
 
 }  // namespace
@@ -32,7 +32,8 @@
         failed("open");
     }
     sqlite3_busy_timeout(db, kBusyTimeoutMs);
-    // Invariant: one process at a time. Two planners on one disk could each vote in a term.
+    // Invariant: only one process has the file open. Two planners on one disk could both vote in
+    // the same term.
     run("PRAGMA locking_mode = EXCLUSIVE");
     run(journal_mode == JournalMode::rollback ? "PRAGMA journal_mode = PERSIST"
                                               : "PRAGMA journal_mode = WAL");
@@ -92,7 +93,7 @@
 }
 Transaction::~Transaction() {
     if (!committed_) {
-        // A failure to roll back changes nothing: SQLite does so when the file is opened next.
+        // A failed rollback does no harm: SQLite rolls back when the file is opened next.
         sqlite3_exec(database_.db_.get(), "ROLLBACK", nullptr, nullptr, nullptr);
     }
 }
--- a/src/storage/sqlite_database.hpp
+++ b/src/storage/sqlite_database.hpp
@@ -1,5 +1,5 @@
-// One SQLite file that this process holds exclusively, its statements and transactions. Each
-// failure is a std::runtime_error whose text is one line that names the file.
+// A SQLite file that this process locks exclusively, with its statements and transactions. Each
+// failure throws a std::runtime_error whose message is one line that names the file.
 #pragma once
 
 #include <sqlite3.h>
@@ -11,18 +11,19 @@
 
 namespace tideline::storage {
 
-// How SQLite makes a transaction durable. Rollback journal: two or three fsyncs, one file at rest.
-// Write-ahead log: one fsync, but a truncated log looks like one that was never longer.
+// How SQLite makes a transaction durable. A rollback journal needs two or three fsyncs, but leaves
+// all data in one file at rest. A write-ahead log needs one fsync, but a truncated log can't be
+// told from one that was never longer.
 enum class JournalMode { rollback, write_ahead };
 
-// The file is not a database, is malformed, or fails a checksum.
+// Thrown if the file is not a database, is malformed, or has a row that fails its checksum.
 struct DamagedFileError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
 class SqliteDatabase {
   public:
-    // Opens the file, or creates it and its folder; fresh() tells which.
+    // Opens the file, or creates it and its folder. fresh() tells whether it was created.
     SqliteDatabase(const std::string& folder, const std::string& file, JournalMode journal_mode);
     const std::string& path() const {
         return path_;
@@ -33,14 +34,15 @@
     }
     // Executes statements that return no rows.
     void run(const char* sql);
-    // Whether SQLite finds the file well-formed.
+    // Whether SQLite's quick check finds the file well-formed.
     bool sound();
-    // Drops cached pages, so that the next reads come from the file.
+    // Drops the cached pages, so that the next reads come from the file.
     void forget_pages() {
         sqlite3_db_release_memory(db_.get());
     }
 
-    // A prepared statement; finalized by its destructor. Parameters count from 1, columns from 0.
+    // A prepared statement, which the destructor finalizes. Parameters are numbered from 1, columns
+    // from 0.
     class Statement {
       public:
         Statement(const SqliteDatabase& database, const char* sql);
@@ -49,14 +51,16 @@
         }
         Statement(const Statement&) = delete;
         Statement& operator=(const Statement&) = delete;
+        // These bind the parameter at the position.
         Statement& with(int at, std::int64_t value);
         Statement& with(int at, const std::string& bytes);
-        // Goes to the next row; false if there is none.
+        // Advances to the next row; returns false if there is none.
         bool step();
-        // Resets the statement, so that it can be bound and stepped again.
+        // Resets the statement, so that it can be executed again.
         void again() {
             sqlite3_reset(handle_);
         }
+        // These return the value of the column at the position.
         std::int64_t number(int at) {
             return sqlite3_column_int64(handle_, at);
         }
@@ -69,6 +73,7 @@
 
   private:
     friend class Transaction;
+    // Throws the present SQLite error; `doing` names the operation that failed.
     [[noreturn]] void failed(const std::string& doing) const;
     struct Close {
         void operator()(sqlite3* db) const {
@@ -87,7 +92,8 @@
     ~Transaction();
     Transaction(const Transaction&) = delete;
     Transaction& operator=(const Transaction&) = delete;
-    // It is on the disk when this returns. Throws std::runtime_error.
+    // Commits the transaction, which is durable when this returns. Throws std::runtime_error on
+    // failure.
     void commit();
 
   private:
@@ -95,9 +101,11 @@
     bool committed_ = false;
 };
 
-// The checksum of a row, since SQLite detects a torn write but not an altered byte. It covers the
-// place of the row too: a row that was moved to another place does not match.
+// Returns the checksum of a row. It is needed because SQLite detects a torn write but not an
+// altered byte. It also covers the place of the row, a number that is derived from its key, so that
+// a row that was moved to another key does not match.
 std::int64_t sum_of(std::string_view bytes, std::uint64_t place);
+// Returns the place of a row that has a text as its key.
 std::uint64_t place_of(std::string_view key);
 
 }  // namespace tideline::storage
