--- a/src/lease/lease_client.cpp
+++ b/src/lease/lease_client.cpp
@@ -27,8 +27,8 @@
 }
 
 void LeaseClient::acquire(Seconds now, const LeaseName& lease) {
-    const auto [it, fresh] = wanted_leases_.try_emplace(lease);
-    if (fresh) {
+    const auto [it, is_new] = wanted_leases_.try_emplace(lease);
+    if (is_new) {
         send_request(now, lease, it->second);
     }
 }
@@ -111,14 +111,14 @@
     if (wanted->token > FencingToken{} && wanted->token != token) {
         lose(lease, *wanted, LossReason::revoked);
     }
-    const bool fresh = wanted->token == FencingToken{};
+    const bool newly_acquired = wanted->token == FencingToken{};
     wanted->token = token;
-    wanted->until = fresh ? until : std::max(until, wanted->until);
+    wanted->until = newly_acquired ? until : std::max(until, wanted->until);
     wanted->failed_attempts = 0;
     wanted->queue_position = 0;
     wanted->next_request_at =
         std::min(wanted->requested_at + span * kRenewalShare, now + settings_.renew_most);
-    if (fresh) {
+    if (newly_acquired) {
         host_->on_acquired(lease, token);
     }
 }
@@ -180,7 +180,7 @@
     }
 }
 void LeaseClient::tick(Seconds now) {
-    bool moved = false;
+    bool switched_planner = false;
     for (auto& [lease, wanted] : wanted_leases_) {
         if (wanted.token > FencingToken{} && now >= wanted.until) {
             lose(lease, wanted, LossReason::expired);
@@ -189,7 +189,7 @@
             continue;
         }
         if (wanted.request > LeaseRequestId{}) {
-            if (!std::exchange(moved, true)) {
+            if (!std::exchange(switched_planner, true)) {
                 host_->switch_planner();
             }
             ++wanted.failed_attempts;
--- a/src/lease/lease_manager.cpp
+++ b/src/lease/lease_manager.cpp
@@ -52,7 +52,7 @@
     }
     timers_.clear();
     pending_acquires_.clear();
-    last_asked_at_.clear();
+    last_requested_at_.clear();
     pending_renewals_.clear();
 }
 
@@ -62,22 +62,22 @@
         return host_->reply(id, Answer::not_now, {}, 0, 0);
     }
     const Lease* lease = leases_->find(name);
-    const auto too_long = [](const std::string& text) {
-        return text.empty() || text.size() > kNameMost;
+    const auto is_invalid_name = [](const std::string& text) {
+        return text.empty() || text.size() > kMaxNameBytes;
     };
-    if (too_long(name.value) || too_long(member.name.value) ||
-        (!lease && leases_->leases().size() >= kLeasesMost)) {
+    if (is_invalid_name(name.value) || is_invalid_name(member.name.value) ||
+        (!lease && leases_->leases().size() >= kMaxLeases)) {
         return host_->reply(id, Answer::refused, {}, 0, 0);
     }
     if (lease && lease->now.holder == member && lease->now.token > FencingToken{}) {
         return renew(now, id, name, lease->now.token);
     }
-    last_asked_at_[{name, member}] = now;
+    last_requested_at_[{name, member}] = now;
     if (lease && queue_position(*lease, member) > 0) {
         return host_->reply(id, Answer::waiting, lease->now.token, 0,
                             queue_position(*lease, member));
     }
-    if (lease && lease->now.token > FencingToken{} && lease->waiting.size() >= kWaitersMost) {
+    if (lease && lease->now.token > FencingToken{} && lease->waiting.size() >= kMaxWaiters) {
         return host_->reply(id, Answer::refused, {}, 0, 0);
     }
     // Only the request that led to the entry is answered with its grant. A later request may reach
@@ -121,7 +121,7 @@
     const auto timer = timers_.find(name);
     if (lease && lease->now.holder == member && timer != timers_.end() &&
         timer->second.token == token && !timer->second.ending) {
-        end(name, timer->second, HoldingEnd::released, now);
+        end_holding(name, timer->second, HoldingEnd::released, now);
     }
     host_->reply(id, Answer::over, token, 0, 0);
 }
@@ -141,23 +141,24 @@
     if (!is_leader_) {
         return;
     }
-    const auto asked = pending_acquires_.find({name, member});
-    const bool mine = asked != pending_acquires_.end();
-    const LeaseRequestId id = mine ? asked->second : LeaseRequestId{};
-    if (mine) {
-        pending_acquires_.erase(asked);
+    const auto pending = pending_acquires_.find({name, member});
+    const bool requested_here = pending != pending_acquires_.end();
+    const LeaseRequestId id = requested_here ? pending->second : LeaseRequestId{};
+    if (requested_here) {
+        pending_acquires_.erase(pending);
     }
     const Lease* lease = leases_->find(name);
-    const bool fresh = lease && lease->now.holder == member && lease->now.token > FencingToken{} &&
-                       timers_[name].token != lease->now.token;
-    if (fresh) {
-        timers_[name] = {lease->now.token, now + settings_.wait(), now + settings_.claim, mine,
-                         false};
-    }
-    if (!mine) {
+    const bool newly_granted = lease && lease->now.holder == member &&
+                               lease->now.token > FencingToken{} &&
+                               timers_[name].token != lease->now.token;
+    if (newly_granted) {
+        timers_[name] = {lease->now.token, now + settings_.wait(), now + settings_.claim,
+                         requested_here, false};
+    }
+    if (!requested_here) {
         return;
     }
-    if (fresh) {
+    if (newly_granted) {
         return host_->reply(id, Answer::granted, lease->now.token, settings_.span, 0);
     }
     if (!lease) {
@@ -199,20 +200,21 @@
     }
 }
 
-std::vector<Member> LeaseManager::absent(Seconds now, const LeaseName& name) const {
+std::vector<Member> LeaseManager::find_absent_waiters(Seconds now, const LeaseName& name) const {
     std::vector<Member> all;
     for (const Member& each : leases_->find(name)->waiting) {
-        const auto heard = last_asked_at_.find({name, each});
-        if (now > std::max(leader_since_, heard == last_asked_at_.end() ? 0 : heard->second) +
+        const auto heard = last_requested_at_.find({name, each});
+        if (now > std::max(leader_since_, heard == last_requested_at_.end() ? 0 : heard->second) +
                       settings_.absent) {
             all.push_back(each);
         }
     }
     return all;
 }
-void LeaseManager::end(const LeaseName& name, HoldingTimer& timer, HoldingEnd how, Seconds now) {
+void LeaseManager::end_holding(const LeaseName& name, HoldingTimer& timer, HoldingEnd reason,
+                               Seconds now) {
     timer.ending = true;
-    host_->propose_end(name, timer.token, how, absent(now, name));
+    host_->propose_end(name, timer.token, reason, find_absent_waiters(now, name));
 }
 void LeaseManager::tick(Seconds now) {
     if (!is_leader_) {
@@ -223,19 +225,19 @@
             continue;
         }
         if (now >= timer.until) {
-            end(name, timer, HoldingEnd::expired, now);
+            end_holding(name, timer, HoldingEnd::expired, now);
         } else if (!timer.answered && now >= timer.claim_by) {
-            end(name, timer, HoldingEnd::unclaimed, now);
+            end_holding(name, timer, HoldingEnd::unclaimed, now);
         }
     }
-    forget(now);
+    remove_old_request_times(now);
 }
-void LeaseManager::forget(Seconds now) {
-    if (now < forget_at_) {
+void LeaseManager::remove_old_request_times(Seconds now) {
+    if (now < next_sweep_at_) {
         return;
     }
-    forget_at_ = now + kSweepInterval;
-    std::erase_if(last_asked_at_,
+    next_sweep_at_ = now + kSweepInterval;
+    std::erase_if(last_requested_at_,
                   [&](const auto& each) { return now > each.second + 2 * settings_.absent; });
 }
 Seconds LeaseManager::due() const {
--- a/src/lease/lease_manager.hpp
+++ b/src/lease/lease_manager.hpp
@@ -22,7 +22,7 @@
     // Propose a command. Once it is applied, the planner calls on_acquire_applied or on_applied;
     // that may never happen if this planner is no longer the leader.
     virtual void propose_acquire(const LeaseName& lease, const Member& member) = 0;
-    virtual void propose_end(const LeaseName& lease, FencingToken token, HoldingEnd how,
+    virtual void propose_end(const LeaseName& lease, FencingToken token, HoldingEnd reason,
                              const std::vector<Member>& absent) = 0;
     virtual void propose_stop_waiting(const LeaseName& lease, const Member& member) = 0;
     // Requests a round of heartbeats that starts after this call. The planner calls
@@ -113,9 +113,9 @@
         Seconds received = 0;
     };
     void renew(Seconds now, LeaseRequestId id, const LeaseName& lease, FencingToken token);
-    void end(const LeaseName& lease, HoldingTimer& timer, HoldingEnd how, Seconds now);
-    std::vector<Member> absent(Seconds now, const LeaseName& name) const;
-    void forget(Seconds now);
+    void end_holding(const LeaseName& lease, HoldingTimer& timer, HoldingEnd reason, Seconds now);
+    std::vector<Member> find_absent_waiters(Seconds now, const LeaseName& name) const;
+    void remove_old_request_times(Seconds now);
 
     LeaseManagerHost* host_;
     LeaseManagerSettings settings_;
@@ -127,8 +127,8 @@
     // Requests whose command is proposed but not applied yet.
     std::map<Requester, LeaseRequestId> pending_acquires_;
     // When each member last requested each lease.
-    std::map<Requester, Seconds> last_asked_at_;
-    Seconds forget_at_ = 0;
+    std::map<Requester, Seconds> last_requested_at_;
+    Seconds next_sweep_at_ = 0;
     std::multimap<RoundId, PendingRenewal> pending_renewals_;
 };
 
--- a/src/lease/lease_state_machine.cpp
+++ b/src/lease/lease_state_machine.cpp
@@ -13,7 +13,7 @@
 
 void LeaseStateMachine::acquire(FencingToken at, double unix_time, const LeaseName& name,
                                 const Member& member) {
-    if (!leases_.contains(name) && leases_.size() >= kLeasesMost) {
+    if (!leases_.contains(name) && leases_.size() >= kMaxLeases) {
         return;
     }
     Lease& lease = leases_[name];
@@ -24,18 +24,18 @@
         lease.now = {at, member, unix_time, 0, HoldingEnd::held};
         return;
     }
-    const bool waits =
+    const bool is_waiting =
         std::find(lease.waiting.begin(), lease.waiting.end(), member) != lease.waiting.end();
-    if (!waits && lease.waiting.size() < kWaitersMost) {
+    if (!is_waiting && lease.waiting.size() < kMaxWaiters) {
         lease.waiting.push_back(member);
     }
 }
 void LeaseStateMachine::end(FencingToken at, double unix_time, const LeaseName& name, Lease& lease,
-                            HoldingEnd how, const std::vector<Member>& absent) {
+                            HoldingEnd reason, const std::vector<Member>& absent) {
     lease.now.to = unix_time;
-    lease.now.end = how;
+    lease.now.end = reason;
     lease.past.push_back(lease.now);
-    if (lease.past.size() > kPastMost) {
+    if (lease.past.size() > kMaxPastHoldings) {
         lease.past.pop_front();
     }
     for (const Member& each : absent) {
@@ -47,20 +47,21 @@
     if (!lease.waiting.empty()) {
         lease.now = {at, lease.waiting.front(), unix_time, 0, HoldingEnd::held};
         lease.waiting.pop_front();
-    } else if (leases_.size() >= kLeasesMost && !raised_alarms_.contains(name) &&
+    } else if (leases_.size() >= kMaxLeases && !raised_alarms_.contains(name) &&
                !documents_.contains(name)) {
         leases_.erase(name);  // makes room for a lease of another name
     }
 }
-void LeaseStateMachine::expire(FencingToken at, double unix_time, const LeaseName& name,
-                               FencingToken token, HoldingEnd how,
-                               const std::vector<Member>& absent) {
+void LeaseStateMachine::end_holding(FencingToken at, double unix_time, const LeaseName& name,
+                                    FencingToken token, HoldingEnd reason,
+                                    const std::vector<Member>& absent) {
     const auto it = leases_.find(name);
     // A delayed or repeated command for an earlier holding must not end the present one.
     if (it == leases_.end() || it->second.now.token != token || token == FencingToken{}) {
         return;
     }
-    end(at, unix_time, name, it->second, it->second.withdrawn ? HoldingEnd::revoked : how, absent);
+    end(at, unix_time, name, it->second, it->second.withdrawn ? HoldingEnd::revoked : reason,
+        absent);
 }
 void LeaseStateMachine::revoke(const LeaseName& name, FencingToken token) {
     const auto it = leases_.find(name);
@@ -78,8 +79,9 @@
     }
 }
 
-ChangeResult LeaseStateMachine::raise(double unix_time, const LeaseName& name, FencingToken token,
-                                      const std::string& key, const std::string& text) {
+ChangeResult LeaseStateMachine::raise_alarm(double unix_time, const LeaseName& name,
+                                            FencingToken token, const std::string& key,
+                                            const std::string& text) {
     const Lease* lease = find(name);
     // A former holder must not raise alarms while its successor does.
     if (!lease || lease->now.token != token || token == FencingToken{}) {
@@ -91,14 +93,14 @@
         raised->second.text = text;
         return ChangeResult::unchanged;
     }
-    if (all.size() >= kRaisedMost) {
+    if (all.size() >= kMaxRaisedAlarms) {
         return ChangeResult::unchanged;
     }
     all.emplace(key, RaisedAlarm{token, unix_time, text});
     return ChangeResult::done;
 }
-ChangeResult LeaseStateMachine::clear(const LeaseName& name, FencingToken token,
-                                      const std::string& key) {
+ChangeResult LeaseStateMachine::clear_alarm(const LeaseName& name, FencingToken token,
+                                            const std::string& key) {
     const Lease* lease = find(name);
     if (!lease || lease->now.token != token || token == FencingToken{}) {
         return ChangeResult::stale_token;
@@ -118,7 +120,7 @@
     }
     const auto it = documents_.find(name);
     const std::uint64_t last = it == documents_.end() ? 0 : it->second.number;
-    if (number != last + 1 || bytes.size() > kWrittenMost) {
+    if (number != last + 1 || bytes.size() > kMaxDocumentBytes) {
         return ChangeResult::unchanged;
     }
     documents_[name] = {number, bytes};
--- a/src/lease/lease_state_machine.hpp
+++ b/src/lease/lease_state_machine.hpp
@@ -13,12 +13,12 @@
 namespace tideline::lease {
 
 // Limits. They bound the size of a snapshot, which contains the whole state.
-constexpr std::size_t kLeasesMost = 256;
-constexpr std::size_t kWaitersMost = 4096;  // per lease; enough for each member of a large cluster
-constexpr std::size_t kNameMost = 100;
-constexpr std::size_t kPastMost = 32;      // per lease; past holdings are only displayed
-constexpr std::size_t kRaisedMost = 4096;  // per lease
-constexpr std::size_t kWrittenMost = 1 << 20;
+constexpr std::size_t kMaxLeases = 256;
+constexpr std::size_t kMaxWaiters = 4096;  // per lease; enough for each member of a large cluster
+constexpr std::size_t kMaxNameBytes = 100;
+constexpr std::size_t kMaxPastHoldings = 32;    // per lease; past holdings are only displayed
+constexpr std::size_t kMaxRaisedAlarms = 4096;  // per lease
+constexpr std::size_t kMaxDocumentBytes = 1 << 20;
 
 // The period for which one member holds a lease. Times are Unix time.
 struct Holding {
@@ -71,15 +71,15 @@
     // Ends the holding under `token`, which the holder has released or under which it can no longer
     // act, and grants the lease to the first waiter. `absent` are waiters that have not asked for
     // the lease for too long; they are removed from the queue first.
-    void expire(FencingToken at, double unix_time, const LeaseName& lease, FencingToken token,
-                HoldingEnd end, const std::vector<Member>& absent);
+    void end_holding(FencingToken at, double unix_time, const LeaseName& lease, FencingToken token,
+                     HoldingEnd end, const std::vector<Member>& absent);
     // Stops the renewal of the lease. The holder may act until the lease expires.
     void revoke(const LeaseName& lease, FencingToken token);
     void stop_waiting(const LeaseName& lease, const Member& member);
     // Raise and clear alarms on behalf of the holder of the lease under `token`.
-    ChangeResult raise(double unix_time, const LeaseName& lease, FencingToken token,
-                       const std::string& key, const std::string& text);
-    ChangeResult clear(const LeaseName& lease, FencingToken token, const std::string& key);
+    ChangeResult raise_alarm(double unix_time, const LeaseName& lease, FencingToken token,
+                             const std::string& key, const std::string& text);
+    ChangeResult clear_alarm(const LeaseName& lease, FencingToken token, const std::string& key);
     // Replaces the document number `number` - 1 with this one. Returns ChangeResult::unchanged if
     // the present document has another number, or this one is too long.
     ChangeResult write_document(const LeaseName& lease, FencingToken token, std::uint64_t number,
@@ -102,8 +102,8 @@
     std::string fingerprint() const;
 
   private:
-    void end(FencingToken at, double unix_time, const LeaseName& name, Lease& lease, HoldingEnd how,
-             const std::vector<Member>& absent);
+    void end(FencingToken at, double unix_time, const LeaseName& name, Lease& lease,
+             HoldingEnd reason, const std::vector<Member>& absent);
     std::map<LeaseName, Lease> leases_;
     RaisedAlarms raised_alarms_;
     LeaseDocuments documents_;
--- a/src/planner/planner.hpp
+++ b/src/planner/planner.hpp
@@ -42,7 +42,7 @@
     struct PendingRequest {
         cluster::LinkId link;
         std::uint64_t id = 0;  // the number that the sender gave the request
-        Seconds at = 0;
+        Seconds received_at = 0;
     };
     // RaftMessageCodec
     ServerId self() const override {
@@ -78,8 +78,8 @@
     bool join_cluster_of(const wire::Planning& planning);
     bool is_of_this_cluster(const cluster::Name& name, const std::string& address,
                             const wire::Planning& planning);
-    void on_announcement(const cluster::Name& name, const std::string& address, ServerId server,
-                         Seconds now);
+    void consider_admission(const cluster::Name& name, const std::string& address, ServerId server,
+                            Seconds now);
     void send_presence(const cluster::Name& name, const std::string& address);
     void announce();
     void remove_expired(Seconds now);
--- a/src/planner/planner_config.cpp
+++ b/src/planner/planner_config.cpp
@@ -73,7 +73,7 @@
         !planner_config.planners.contains(planner_config.name)) {
         read.fault(from, "this planner's own name is not among the planners");
     }
-    if (planner_config.name.value.size() > lease::kNameMost) {
+    if (planner_config.name.value.size() > lease::kMaxNameBytes) {
         read.fault(from, "a name of more than 100 bytes");
     }
 }
--- a/src/planner/planner_core.cpp
+++ b/src/planner/planner_core.cpp
@@ -19,7 +19,7 @@
 // A learner whose last reply is older has not caught up, whatever it has persisted.
 constexpr Seconds kLearnerTimeout = 2;
 
-void put_member(const Member& member, wire::Member& to) {
+void encode_member(const Member& member, wire::Member& to) {
     to.set_name(member.name.value);
     to.set_life(member.incarnation.value);
 }
@@ -58,43 +58,43 @@
       lease_manager_(other.lease_manager_, *this, leases_),
       raft_(other.raft_, host, *this),
       leader_term_(other.leader_term_),
-      pending_decisions_(other.pending_decisions_),
+      pending_commands_(other.pending_commands_),
       wants_round_(other.wants_round_) {}
 
 raft::PersistentState PlannerCore::initial_state(ServerId self, const Name& name,
                                                  const std::string& address) {
     raft::VoterMembership first;
     first.admit(name, self, address);
-    return {{{1}, {}}, {{1}, {1}, first.wanted(), state_of({}, first)}, {}};
+    return {{{1}, {}}, {{1}, {1}, first.target_voters(), state_of({}, first)}, {}};
 }
 
 void PlannerCore::apply(LogIndex at, const LogEntry& entry) {
     if (entry.kind != raft::EntryKind::command) {
         return;
     }
-    const Effect effect = planner::apply(entry.command, at, leases_, voter_membership_);
-    if (effect.wrote || may_have_new_holder(leases_.find(effect.lease), at)) {
-        host_->holder_changed(effect.lease);
+    const CommandResult result = planner::apply(entry.command, at, leases_, voter_membership_);
+    if (result.document_written || may_have_new_holder(leases_.find(result.lease), at)) {
+        host_->holder_changed(result.lease);
     }
-    if (effect.take) {
-        lease_manager_.on_acquire_applied(now_, effect.lease, effect.member);
-    } else if (!effect.lease.value.empty()) {
-        lease_manager_.on_applied(now_, effect.lease);
+    if (result.is_acquire) {
+        lease_manager_.on_acquire_applied(now_, result.lease, result.member);
+    } else if (!result.lease.value.empty()) {
+        lease_manager_.on_applied(now_, result.lease);
     }
-    answer_decided(at, effect.change);
+    answer_command_request(at, result.change);
 }
 // Answers the request whose command the entry holds, if this planner received it.
-void PlannerCore::answer_decided(LogIndex at, lease::ChangeResult change) {
-    const auto decided = pending_decisions_.find(at);
-    if (decided == pending_decisions_.end()) {
+void PlannerCore::answer_command_request(LogIndex at, lease::ChangeResult change) {
+    const auto pending = pending_commands_.find(at);
+    if (pending == pending_commands_.end()) {
         return;
     }
     if (change == lease::ChangeResult::stale_token) {
-        host_->reply(decided->second, Answer::over, {}, 0, 0);
+        host_->reply(pending->second, Answer::over, {}, 0, 0);
     } else {
-        host_->on_command_committed(decided->second, change == lease::ChangeResult::done);
+        host_->on_command_committed(pending->second, change == lease::ChangeResult::done);
     }
-    pending_decisions_.erase(decided);
+    pending_commands_.erase(pending);
 }
 void PlannerCore::restore(const Snapshot& snapshot) {
     if (!planner::restore(snapshot.state, leases_, voter_membership_)) {
@@ -110,18 +110,18 @@
     wire::Command command;
     command.set_what(wire::Command::TAKE);
     command.set_lease(lease.value);
-    put_member(member, *command.mutable_member());
+    encode_member(member, *command.mutable_member());
     propose(command);
 }
-void PlannerCore::propose_end(const LeaseName& lease, FencingToken token, lease::HoldingEnd how,
+void PlannerCore::propose_end(const LeaseName& lease, FencingToken token, lease::HoldingEnd reason,
                               const std::vector<Member>& absent) {
     wire::Command command;
     command.set_what(wire::Command::END);
     command.set_lease(lease.value);
     command.set_fence(token.value);
-    command.set_end(static_cast<std::uint32_t>(how));
+    command.set_end(static_cast<std::uint32_t>(reason));
     for (const Member& each : absent) {
-        put_member(each, *command.add_absent());
+        encode_member(each, *command.add_absent());
     }
     propose(command);
 }
@@ -129,7 +129,7 @@
     wire::Command command;
     command.set_what(wire::Command::STOP_WAITING);
     command.set_lease(lease.value);
-    put_member(member, *command.mutable_member());
+    encode_member(member, *command.mutable_member());
     propose(command);
 }
 lease::RoundId PlannerCore::start_round() {
@@ -137,7 +137,7 @@
     wants_round_ = true;
     return {raft_.current_round().value + 1};
 }
-void PlannerCore::decide(Seconds now, LeaseRequestId id, wire::Command& command) {
+void PlannerCore::propose_for_request(Seconds now, LeaseRequestId id, wire::Command& command) {
     now_ = now;
     if (!lease_manager_.is_leader()) {
         return host_->reply(id, Answer::not_now, {}, 0, 0);
@@ -146,7 +146,7 @@
     if (at.value == 0) {
         return host_->reply(id, Answer::not_now, {}, 0, 0);
     }
-    pending_decisions_[at] = id;
+    pending_commands_[at] = id;
     after_event(now);
 }
 
@@ -186,7 +186,7 @@
     command.set_fence(token.value);
     command.set_key(key);
     command.set_text(text);
-    decide(now, id, command);
+    propose_for_request(now, id, command);
 }
 void PlannerCore::write_document(Seconds now, LeaseRequestId id, const LeaseName& lease,
                                  FencingToken token, std::uint64_t number,
@@ -200,7 +200,7 @@
     command.set_fence(token.value);
     command.set_number(number);
     command.set_text(bytes);
-    decide(now, id, command);
+    propose_for_request(now, id, command);
 }
 void PlannerCore::revoke(Seconds now, LeaseRequestId id, const LeaseName& lease) {
     const lease::Lease* found = leases_.find(lease);
@@ -211,7 +211,7 @@
     command.set_what(wire::Command::TAKE_AWAY);
     command.set_lease(lease.value);
     command.set_fence(found ? found->now.token.value : 0);
-    decide(now, id, command);
+    propose_for_request(now, id, command);
 }
 void PlannerCore::admit(Seconds now, LeaseRequestId id, ServerId server, const Name& name,
                         const std::string& address) {
@@ -220,13 +220,13 @@
     command.mutable_seat()->set_peer(server.value);
     command.mutable_seat()->set_name(name.value);
     command.mutable_seat()->set_address(address);
-    decide(now, id, command);
+    propose_for_request(now, id, command);
 }
 void PlannerCore::remove(Seconds now, LeaseRequestId id, const Name& name) {
     wire::Command command;
     command.set_what(wire::Command::REMOVE);
     command.mutable_seat()->set_name(name.value);
-    decide(now, id, command);
+    propose_for_request(now, id, command);
 }
 
 void PlannerCore::tick(Seconds now) {
@@ -246,7 +246,7 @@
     now_ = now;
     if (lease_manager_.is_leader() && (!raft_.is_leader() || raft_.term() != leader_term_)) {
         lease_manager_.on_leadership_lost();
-        for (const auto& [at, id] : std::exchange(pending_decisions_, {})) {
+        for (const auto& [at, id] : std::exchange(pending_commands_, {})) {
             host_->reply(id, Answer::not_now, {}, 0, 0);
         }
     }
@@ -273,7 +273,7 @@
             raft_.match_index(server).value + kCaughtUpEntries >= raft_.commit_index().value;
         return has_log && raft_.time_since_reply(now, server) < kLearnerTimeout;
     };
-    const auto next = voter_membership_.step(raft_.voters(), caught_up);
+    const auto next = voter_membership_.next_voter_set(raft_.voters(), caught_up);
     if (next && raft_.change_voters(*next)) {
         host_->log_event(fmt::format("changing voters: servers={}", next->size()));
     }
--- a/src/planner/planner_core.hpp
+++ b/src/planner/planner_core.hpp
@@ -121,7 +121,7 @@
     // lease::LeaseManagerHost
     void propose_acquire(const lease::LeaseName& lease, const lease::Member& member) override;
     void propose_end(const lease::LeaseName& lease, lease::FencingToken token,
-                     lease::HoldingEnd how, const std::vector<lease::Member>& absent) override;
+                     lease::HoldingEnd reason, const std::vector<lease::Member>& absent) override;
     void propose_stop_waiting(const lease::LeaseName& lease, const lease::Member& member) override;
     lease::RoundId start_round() override;
     void reply(lease::LeaseRequestId id, lease::Answer result, lease::FencingToken token,
@@ -133,8 +133,8 @@
         host_->notify_turn(member, lease, token);
     }
     raft::LogIndex propose(wire::Command& command);
-    void decide(Seconds now, lease::LeaseRequestId id, wire::Command& command);
-    void answer_decided(raft::LogIndex at, lease::ChangeResult change);
+    void propose_for_request(Seconds now, lease::LeaseRequestId id, wire::Command& command);
+    void answer_command_request(raft::LogIndex at, lease::ChangeResult change);
     void after_event(Seconds now);
     void advance_voters(Seconds now);
 
@@ -148,7 +148,7 @@
     raft::Raft raft_;
     raft::Term leader_term_;
     // Requests that are answered once their command is applied, keyed by the index of its entry.
-    std::map<raft::LogIndex, lease::LeaseRequestId> pending_decisions_;
+    std::map<raft::LogIndex, lease::LeaseRequestId> pending_commands_;
     bool wants_round_ = false;
 };
 
--- a/src/planner/planner_directory.cpp
+++ b/src/planner/planner_directory.cpp
@@ -16,27 +16,27 @@
 
 }  // namespace
 
-void PlannerDirectory::heard_planner(raft::ServerId server, const cluster::Name& name,
-                                     const std::string& address) {
+void PlannerDirectory::record_planner(raft::ServerId server, const cluster::Name& name,
+                                      const std::string& address) {
     planners_[server] = {name, address};
 }
 
-const PlannerAddress* PlannerDirectory::planner(raft::ServerId server) const {
+const PlannerAddress* PlannerDirectory::find_planner(raft::ServerId server) const {
     return find_in(planners_, server);
 }
 
-void PlannerDirectory::heard_announcement(Seconds now, const cluster::Name& name,
-                                          raft::ServerId server, const std::string& address) {
+void PlannerDirectory::record_announcement(Seconds now, const cluster::Name& name,
+                                           raft::ServerId server, const std::string& address) {
     joining_[name] = {server, address, now};
 }
 
-const JoiningPlanner* PlannerDirectory::joining(const cluster::Name& name) const {
+const JoiningPlanner* PlannerDirectory::find_joining_planner(const cluster::Name& name) const {
     return find_in(joining_, name);
 }
 
-void PlannerDirectory::heard_member(Seconds now, const lease::Member& member,
-                                    const cluster::LinkId& link,
-                                    const cluster::Name& forwarded_by) {
+void PlannerDirectory::record_member(Seconds now, const lease::Member& member,
+                                     const cluster::LinkId& link,
+                                     const cluster::Name& forwarded_by) {
     member_routes_[member] = {link, forwarded_by, now};
 }
 
--- a/src/planner/planner_directory.hpp
+++ b/src/planner/planner_directory.hpp
@@ -36,25 +36,25 @@
 class PlannerDirectory {
   public:
     // Records the address of a planner of this cluster, from which a message arrived.
-    void heard_planner(raft::ServerId server, const cluster::Name& name,
-                       const std::string& address);
+    void record_planner(raft::ServerId server, const cluster::Name& name,
+                        const std::string& address);
     // Returns nullptr if no message of the planner arrived.
-    const PlannerAddress* planner(raft::ServerId server) const;
+    const PlannerAddress* find_planner(raft::ServerId server) const;
 
     // Records the announcement of a planner that is not in the voter set.
-    void heard_announcement(Seconds now, const cluster::Name& name, raft::ServerId server,
-                            const std::string& address);
+    void record_announcement(Seconds now, const cluster::Name& name, raft::ServerId server,
+                             const std::string& address);
     // Returns nullptr if the planner has not announced itself recently.
-    const JoiningPlanner* joining(const cluster::Name& name) const;
+    const JoiningPlanner* find_joining_planner(const cluster::Name& name) const;
     // The planners that announced themselves recently.
-    const std::map<cluster::Name, JoiningPlanner>& all_joining() const {
+    const std::map<cluster::Name, JoiningPlanner>& joining_planners() const {
         return joining_;
     }
 
     // Records the route of a member's request. `forwarded_by` is the planner that forwarded the
     // request; empty if the member sent it to this planner.
-    void heard_member(Seconds now, const lease::Member& member, const cluster::LinkId& link,
-                      const cluster::Name& forwarded_by);
+    void record_member(Seconds now, const lease::Member& member, const cluster::LinkId& link,
+                       const cluster::Name& forwarded_by);
     // Returns nullptr if the member has sent no request recently.
     const MemberRoute* route_to(const lease::Member& member) const;
 
--- a/src/planner/planner_messages.cpp
+++ b/src/planner/planner_messages.cpp
@@ -29,7 +29,7 @@
     *encoded.mutable_planning() = message;
     encoded.mutable_planning()->set_cluster(cluster_.value);
     const auto voter = planner_core_->raft().voters().find(to);
-    if (const PlannerAddress* const known = directory_.planner(to)) {
+    if (const PlannerAddress* const known = directory_.find_planner(to)) {
         peer_connections_.send(known->name, known->address, encoded);
     } else if (voter != planner_core_->raft().voters().end()) {
         peer_connections_.send(voter->second.name, voter->second.address, encoded);
@@ -63,27 +63,27 @@
 
 void Planner::remove_expired(Seconds now) {
     std::erase_if(pending_requests_,
-                  [&](auto& each) { return now > each.second.at + kRequestTimeout; });
+                  [&](auto& each) { return now > each.second.received_at + kRequestTimeout; });
     std::erase_if(watchers_, [&](auto& each) {
         return now > each.second || !peer_connections_.open(each.first);
     });
     directory_.remove_expired(now);
 }
 
-void Planner::on_announcement(const Name& name, const std::string& address, ServerId server,
-                              Seconds now) {
+void Planner::consider_admission(const Name& name, const std::string& address, ServerId server,
+                                 Seconds now) {
     if (!planner_core_ || !planner_core_->is_serving() ||
         planner_core_->raft().voters().contains(server)) {
         return;
     }
-    directory_.heard_announcement(now, name, server, address);
+    directory_.record_announcement(now, name, server, address);
     const raft::VoterMembership& voter_membership = planner_core_->voter_membership();
     const auto configured = planner_config_.planners.find(name);
-    if (!voter_membership.known(name) && configured != planner_config_.planners.end() &&
+    if (!voter_membership.is_known(name) && configured != planner_config_.planners.end() &&
         configured->second == address) {
         log_.line("planner: admitting new planner: name={}", name.value);
         planner_core_->admit(now, LeaseRequestId{++last_request_id_}, server, name, address);
-    } else if (!voter_membership.admitted(server) &&
+    } else if (!voter_membership.is_admitted(server) &&
                logged_faults_.insert(fmt::format("{}{}", name.value, server.value)).second) {
         log_.alarm(
             "planner: {} is here without a vote, as after the loss of its disk: admit it if it is "
@@ -140,7 +140,7 @@
     if (!join_cluster_of(planning) || !is_of_this_cluster(name, address, planning)) {
         return;
     }
-    directory_.heard_planner(ServerId{planning.from()}, name, address);
+    directory_.record_planner(ServerId{planning.from()}, name, address);
     handle_raft_message(*planner_core_, lasting_now(), planning);
 }
 
@@ -155,8 +155,8 @@
         return false;
     }
     const wire::PlannerKnock& announcement = planning.knock();
-    on_announcement(Name{announcement.name()}, announcement.address(),
-                    ServerId{announcement.peer()}, lasting_now());
+    consider_admission(Name{announcement.name()}, announcement.address(),
+                       ServerId{announcement.peer()}, lasting_now());
     return true;
 }
 
--- a/src/planner/planner_requests.cpp
+++ b/src/planner/planner_requests.cpp
@@ -23,7 +23,7 @@
 // Enough for the members of a large cluster, some of which have two requests open.
 constexpr std::size_t kMaxPendingRequests = 20000;
 // A planner that has not replied to the leader for this time is shown as silent.
-constexpr Seconds kSilentAfter = 2;
+constexpr Seconds kSilentTimeout = 2;
 
 }  // namespace
 
@@ -129,7 +129,7 @@
     const Member member{Name{ask.member()}, lease::Incarnation{ask.life()}};
     if (!member.name.value.empty()) {
         const Name forwarded_by = ask.passed_on() ? Name{message.from().self().name()} : Name{};
-        directory_.heard_member(now, member, link, forwarded_by);
+        directory_.record_member(now, member, link, forwarded_by);
     }
     if (planner_core_ && planner_core_->is_serving()) {
         return serve_request(now, id, ask);
@@ -237,7 +237,7 @@
 }
 
 void Planner::serve_admit(Seconds now, LeaseRequestId id, const Name& planner) {
-    const JoiningPlanner* const joining = directory_.joining(planner);
+    const JoiningPlanner* const joining = directory_.find_joining_planner(planner);
     if (!joining) {
         return reject(id, "no planner '" + planner.value +
                               "' has announced itself: start it first, with its folder empty");
@@ -246,7 +246,7 @@
 }
 
 void Planner::serve_remove(Seconds now, LeaseRequestId id, const Name& planner) {
-    const auto& voters = planner_core_->voter_membership().wanted();
+    const auto& voters = planner_core_->voter_membership().target_voters();
     const bool is_voter = std::any_of(voters.begin(), voters.end(), [&](const auto& each) {
         return each.second.name == planner;
     });
@@ -266,7 +266,7 @@
         return;
     }
     const raft::Raft& raft = planner_core_->raft();
-    put(planner_core_->leases(), table);
+    encode(planner_core_->leases(), table);
     for (auto& lease : *table.mutable_leases()) {
         lease.set_left(planner_core_->time_left(now, LeaseName{lease.name()}));
     }
@@ -280,7 +280,7 @@
         }
         fill_voter_row(now, server, voter, *table.add_planners());
     }
-    for (const auto& [name, joining] : directory_.all_joining()) {
+    for (const auto& [name, joining] : directory_.joining_planners()) {
         if (raft.voters().contains(joining.server)) {
             continue;
         }
@@ -306,7 +306,7 @@
     row.set_heard_ago(never_heard ? -1 : since_reply);
     if (server == raft.leader()) {
         row.set_state("leads");
-    } else if (raft.is_leader() && since_reply >= kSilentAfter) {
+    } else if (raft.is_leader() && since_reply >= kSilentTimeout) {
         row.set_state("silent");
     } else {
         row.set_state(voter.votes ? "votes" : "learns");
--- a/src/planner/raft_message_codec.cpp
+++ b/src/planner/raft_message_codec.cpp
@@ -11,32 +11,32 @@
 using raft::ServerId;
 using raft::Term;
 
-RequestVote request_vote_from(Term term, const wire::VoteAsk& from) {
+RequestVote decode_request_vote(Term term, const wire::VoteAsk& from) {
     return {term, {from.last()}, {from.last_reign()}, from.rehearsal()};
 }
 
-RequestVoteReply request_vote_reply_from(Term term, const wire::VoteAnswer& from) {
+RequestVoteReply decode_request_vote_reply(Term term, const wire::VoteAnswer& from) {
     return {term, from.granted(), from.rehearsal()};
 }
 
-AppendEntries append_entries_from(Term term, const wire::Tell& from) {
+AppendEntries decode_append_entries(Term term, const wire::Tell& from) {
     AppendEntries message;
     message.term = term;
     message.prev_log_index = {from.before()};
     message.prev_log_term = {from.before_reign()};
     for (const auto& entry : from.records()) {
-        message.entries.push_back(entry_from(entry));
+        message.entries.push_back(decode_entry(entry));
     }
     message.leader_commit = {from.committed()};
     message.round = {from.round()};
     return message;
 }
 
-InstallSnapshot install_snapshot_from(Term term, const wire::TellSnapshot& from) {
-    return {term, snapshot_from(from.snapshot()), {from.round()}};
+InstallSnapshot decode_install_snapshot(Term term, const wire::TellSnapshot& from) {
+    return {term, decode_snapshot(from.snapshot()), {from.round()}};
 }
 
-AppendEntriesReply append_entries_reply_from(Term term, const wire::TellAnswer& from) {
+AppendEntriesReply decode_append_entries_reply(Term term, const wire::TellAnswer& from) {
     return {term, from.fits(), {from.reached()}, {from.round()}};
 }
 
@@ -73,7 +73,7 @@
     body.set_before(message.prev_log_index.value);
     body.set_before_reign(message.prev_log_term.value);
     for (const LogEntry& entry : message.entries) {
-        put(entry, *body.add_records());
+        encode(entry, *body.add_records());
     }
     body.set_committed(message.leader_commit.value);
     body.set_round(message.round.value);
@@ -83,7 +83,7 @@
 void RaftMessageCodec::send(ServerId to, const InstallSnapshot& message) {
     wire::Planning encoded = header_for(to, message.term);
     wire::TellSnapshot& body = *encoded.mutable_tell_snapshot();
-    put(message.snapshot, *body.mutable_snapshot());
+    encode(message.snapshot, *body.mutable_snapshot());
     body.set_round(message.round.value);
     send_planning(to, encoded);
 }
@@ -104,18 +104,18 @@
     planner_core.with_raft(now, [&](raft::Raft& raft) {
         switch (message.what_case()) {
             case wire::Planning::kVoteAsk:
-                return raft.handle(now, from, to, request_vote_from(term, message.vote_ask()));
+                return raft.handle(now, from, to, decode_request_vote(term, message.vote_ask()));
             case wire::Planning::kVoteAnswer:
                 return raft.handle(now, from, to,
-                                   request_vote_reply_from(term, message.vote_answer()));
+                                   decode_request_vote_reply(term, message.vote_answer()));
             case wire::Planning::kTell:
-                return raft.handle(now, from, to, append_entries_from(term, message.tell()));
+                return raft.handle(now, from, to, decode_append_entries(term, message.tell()));
             case wire::Planning::kTellSnapshot:
                 return raft.handle(now, from, to,
-                                   install_snapshot_from(term, message.tell_snapshot()));
+                                   decode_install_snapshot(term, message.tell_snapshot()));
             case wire::Planning::kTellAnswer:
                 return raft.handle(now, from, to,
-                                   append_entries_reply_from(term, message.tell_answer()));
+                                   decode_append_entries_reply(term, message.tell_answer()));
             default:
                 return;
         }
--- a/src/planner/raft_storage.cpp
+++ b/src/planner/raft_storage.cpp
@@ -45,7 +45,7 @@
     wire::Identity identity;
     identity.set_name(name.value);
     identity.set_disk(disk_.value);
-    put(kIdentityKey, identity.SerializeAsString());
+    put_value(kIdentityKey, identity.SerializeAsString());
 }
 
 void RaftStorage::read(const raft::Name& name) {
@@ -60,7 +60,7 @@
 
 void RaftStorage::read_identity(const raft::Name& name) {
     wire::Identity identity;
-    const auto bytes = get(kIdentityKey);
+    const auto bytes = get_value(kIdentityKey);
     if (!bytes || !identity.ParseFromString(*bytes)) {
         fail_damaged("it has no identity");
     }
@@ -73,7 +73,7 @@
 }
 
 void RaftStorage::read_vote_state() {
-    const auto bytes = get(kVoteStateKey);
+    const auto bytes = get_value(kVoteStateKey);
     if (!bytes) {
         return;
     }
@@ -85,7 +85,7 @@
 }
 
 void RaftStorage::read_snapshot() {
-    const auto bytes = get(kSnapshotKey);
+    const auto bytes = get_value(kSnapshotKey);
     if (!bytes) {
         return;
     }
@@ -93,7 +93,7 @@
     if (!snapshot.ParseFromString(*bytes)) {
         fail_damaged("its snapshot can't be read");
     }
-    state_.snapshot = snapshot_from(snapshot);
+    state_.snapshot = decode_snapshot(snapshot);
 }
 
 // Invariant: a gap or an altered entry is never mistaken for the end of the log. Otherwise the
@@ -111,17 +111,17 @@
         if (sum_of(bytes, index) != rows.number(2) || !entry.ParseFromString(bytes)) {
             fail_damaged(fmt::format("record {} was altered", index));
         }
-        state_.entries.push_back(entry_from(entry));
+        state_.entries.push_back(decode_entry(entry));
     }
     // The last index is stored separately, because rows at the end may be lost together with a page
     // that the table no longer refers to.
-    const auto last_index = get(kLastIndexKey);
+    const auto last_index = get_value(kLastIndexKey);
     if (last_index && *last_index != std::to_string(snapshot_index + state_.entries.size())) {
         fail_damaged("its log ends before what was stored");
     }
 }
 
-std::optional<std::string> RaftStorage::get(const char* key) {
+std::optional<std::string> RaftStorage::get_value(const char* key) {
     Statement row(database_, "SELECT bytes, sum FROM kept WHERE key = ?");
     row.with(1, std::string(key));
     if (!row.step()) {
@@ -134,7 +134,7 @@
     return bytes;
 }
 
-void RaftStorage::put(const char* key, const std::string& bytes) {
+void RaftStorage::put_value(const char* key, const std::string& bytes) {
     Statement(database_, "INSERT OR REPLACE INTO kept (key, bytes, sum) VALUES (?, ?, ?)")
         .with(1, std::string(key))
         .with(2, bytes)
@@ -144,7 +144,7 @@
 
 void RaftStorage::put_entry(std::uint64_t index, const raft::LogEntry& entry) {
     wire::LogRecord row;
-    planner::put(entry, row);
+    planner::encode(entry, row);
     const std::string bytes = row.SerializeAsString();
     Statement(database_, "INSERT INTO log (at, bytes, sum) VALUES (?, ?, ?)")
         .with(1, static_cast<std::int64_t>(index))
@@ -159,13 +159,13 @@
 
 void RaftStorage::join_cluster(raft::ClusterId cluster, const raft::PersistRequest& first) {
     wire::Identity identity;
-    const auto bytes = get(kIdentityKey);
+    const auto bytes = get_value(kIdentityKey);
     if (!bytes || !identity.ParseFromString(*bytes)) {
         fail_damaged("it has no identity");
     }
     identity.set_cluster(cluster.value);
     Transaction transaction(database_);
-    put(kIdentityKey, identity.SerializeAsString());
+    put_value(kIdentityKey, identity.SerializeAsString());
     write({first});
     transaction.commit();
     cluster_ = cluster;
@@ -185,7 +185,7 @@
         }
     }
     if (last_index) {
-        put(kLastIndexKey, std::to_string(*last_index));
+        put_value(kLastIndexKey, std::to_string(*last_index));
     }
 }
 
@@ -196,13 +196,13 @@
         wire::Promise vote_state;
         vote_state.set_reign(request.vote_state->term.value);
         vote_state.set_voted(request.vote_state->voted_for.value);
-        put(kVoteStateKey, vote_state.SerializeAsString());
+        put_value(kVoteStateKey, vote_state.SerializeAsString());
     }
     if (request.snapshot) {
         const std::uint64_t snapshot_index = request.snapshot->last_included_index.value;
         wire::Snapshot snapshot;
-        planner::put(*request.snapshot, snapshot);
-        put(kSnapshotKey, snapshot.SerializeAsString());
+        planner::encode(*request.snapshot, snapshot);
+        put_value(kSnapshotKey, snapshot.SerializeAsString());
         if (request.discard_log) {
             database_.run("DELETE FROM log");
             last_index = snapshot_index;
--- a/src/planner/raft_storage.hpp
+++ b/src/planner/raft_storage.hpp
@@ -52,8 +52,8 @@
     void read_vote_state();
     void read_snapshot();
     void read_entries();
-    std::optional<std::string> get(const char* key);
-    void put(const char* key, const std::string& bytes);
+    std::optional<std::string> get_value(const char* key);
+    void put_value(const char* key, const std::string& bytes);
     void put_entry(std::uint64_t index, const raft::LogEntry& entry);
     void write(const std::vector<raft::PersistRequest>& requests);
     std::optional<std::uint64_t> write_one(const raft::PersistRequest& request);
--- a/src/planner/storage_codec.cpp
+++ b/src/planner/storage_codec.cpp
@@ -15,39 +15,39 @@
 
 // A value that the enum does not have, as a newer version may send it, becomes the last enumerator.
 template <class Kind>
-Kind within(std::uint32_t value, Kind most) {
-    return static_cast<Kind>(std::min(value, static_cast<std::uint32_t>(most)));
+Kind clamp_enum(std::uint32_t value, Kind last) {
+    return static_cast<Kind>(std::min(value, static_cast<std::uint32_t>(last)));
 }
-void put(const Member& member, wire::Member& to) {
+void encode(const Member& member, wire::Member& to) {
     to.set_name(member.name.value);
     to.set_life(member.incarnation.value);
 }
-Member member_from(const wire::Member& from) {
+Member decode_member(const wire::Member& from) {
     return {lease::Name{from.name()}, lease::Incarnation{from.life()}};
 }
-void put(const lease::Holding& holding, wire::HoldingState& to) {
+void encode(const lease::Holding& holding, wire::HoldingState& to) {
     to.set_fence(holding.token.value);
     to.set_from(holding.from);
     to.set_to(holding.to);
     to.set_end(static_cast<std::uint32_t>(holding.end));
-    put(holding.holder, *to.mutable_holder());
+    encode(holding.holder, *to.mutable_holder());
 }
-lease::Holding holding_from(const wire::HoldingState& from) {
-    return {FencingToken{from.fence()}, member_from(from.holder()), from.from(), from.to(),
-            within(from.end(), HoldingEnd::revoked)};
+lease::Holding decode_holding(const wire::HoldingState& from) {
+    return {FencingToken{from.fence()}, decode_member(from.holder()), from.from(), from.to(),
+            clamp_enum(from.end(), HoldingEnd::revoked)};
 }
 template <class To>
-void put_leases(const lease::LeaseStateMachine& leases, To& to) {
+void encode_leases(const lease::LeaseStateMachine& leases, To& to) {
     for (const auto& [name, lease] : leases.leases()) {
         wire::LeaseState& into = *to.add_leases();
         into.set_name(name.value);
         into.set_withdrawn(lease.withdrawn);
-        put(lease.now, *into.mutable_now());
+        encode(lease.now, *into.mutable_now());
         for (const Member& each : lease.waiting) {
-            put(each, *into.add_waiting());
+            encode(each, *into.add_waiting());
         }
         for (const auto& each : lease.past) {
-            put(each, *into.add_past());
+            encode(each, *into.add_past());
         }
     }
     for (const auto& [name, all] : leases.raised_alarms()) {
@@ -64,7 +64,7 @@
 
 }  // namespace
 
-void put(const VoterSet& voters, google::protobuf::RepeatedPtrField<wire::Seat>& to) {
+void encode(const VoterSet& voters, google::protobuf::RepeatedPtrField<wire::Seat>& to) {
     for (const auto& [server, voter] : voters) {
         wire::Seat& into = *to.Add();
         into.set_peer(server.value);
@@ -73,42 +73,42 @@
         into.set_votes(voter.votes);
     }
 }
-VoterSet voters_from(const google::protobuf::RepeatedPtrField<wire::Seat>& from) {
+VoterSet decode_voters(const google::protobuf::RepeatedPtrField<wire::Seat>& from) {
     VoterSet voters;
     for (const wire::Seat& seat : from) {
         voters[ServerId{seat.peer()}] = {cluster::Name{seat.name()}, seat.address(), seat.votes()};
     }
     return voters;
 }
-void put(const LogEntry& entry, wire::LogRecord& to) {
+void encode(const LogEntry& entry, wire::LogRecord& to) {
     to.set_reign(entry.term.value);
     to.set_kind(static_cast<std::uint32_t>(entry.kind));
     to.set_body(entry.command);
-    put(entry.voters, *to.mutable_council());
+    encode(entry.voters, *to.mutable_council());
 }
-LogEntry entry_from(const wire::LogRecord& from) {
-    return {Term{from.reign()}, within(from.kind(), raft::EntryKind::voters), from.body(),
-            voters_from(from.council())};
+LogEntry decode_entry(const wire::LogRecord& from) {
+    return {Term{from.reign()}, clamp_enum(from.kind(), raft::EntryKind::voters), from.body(),
+            decode_voters(from.council())};
 }
-void put(const Snapshot& snapshot, wire::Snapshot& to) {
+void encode(const Snapshot& snapshot, wire::Snapshot& to) {
     to.set_last(snapshot.last_included_index.value);
     to.set_reign(snapshot.last_included_term.value);
     to.set_state(snapshot.state);
-    put(snapshot.voters, *to.mutable_council());
+    encode(snapshot.voters, *to.mutable_council());
 }
-Snapshot snapshot_from(const wire::Snapshot& from) {
-    return {{from.last()}, {from.reign()}, voters_from(from.council()), from.state()};
+Snapshot decode_snapshot(const wire::Snapshot& from) {
+    return {{from.last()}, {from.reign()}, decode_voters(from.council()), from.state()};
 }
 
-void put(const lease::LeaseStateMachine& leases, wire::PlannerTable& to) {
-    put_leases(leases, to);
+void encode(const lease::LeaseStateMachine& leases, wire::PlannerTable& to) {
+    encode_leases(leases, to);
 }
 std::string state_of(const lease::LeaseStateMachine& leases,
                      const raft::VoterMembership& voter_membership) {
     wire::PlannerState state;
-    put_leases(leases, state);
-    put(voter_membership.wanted(), *state.mutable_admitted());
-    for (const auto& name : voter_membership.names()) {
+    encode_leases(leases, state);
+    encode(voter_membership.target_voters(), *state.mutable_admitted());
+    for (const auto& name : voter_membership.known_names()) {
         state.add_known(name.value);
     }
     for (const auto& [name, each] : leases.documents()) {
@@ -128,13 +128,13 @@
     std::map<LeaseName, lease::Lease> all;
     for (const wire::LeaseState& from : state.leases()) {
         lease::Lease& lease = all[LeaseName{from.name()}];
-        lease.now = holding_from(from.now());
+        lease.now = decode_holding(from.now());
         lease.withdrawn = from.withdrawn();
         for (const auto& each : from.waiting()) {
-            lease.waiting.push_back(member_from(each));
+            lease.waiting.push_back(decode_member(each));
         }
         for (const auto& each : from.past()) {
-            lease.past.push_back(holding_from(each));
+            lease.past.push_back(decode_holding(each));
         }
     }
     lease::LeaseStateMachine::RaisedAlarms raised;
@@ -151,51 +151,51 @@
     for (const auto& name : state.known()) {
         known.insert(cluster::Name{name});
     }
-    voter_membership.restore(voters_from(state.admitted()), std::move(known));
+    voter_membership.restore(decode_voters(state.admitted()), std::move(known));
     return true;
 }
 
-Effect apply(const std::string& bytes, raft::LogIndex at, lease::LeaseStateMachine& leases,
-             raft::VoterMembership& voter_membership) {
+CommandResult apply(const std::string& bytes, raft::LogIndex at, lease::LeaseStateMachine& leases,
+                    raft::VoterMembership& voter_membership) {
     wire::Command command;
-    Effect effect;
+    CommandResult result;
     if (!command.ParseFromString(bytes)) {
-        return effect;
+        return result;
     }
-    effect.lease = LeaseName{command.lease()};
-    effect.member = member_from(command.member());
+    result.lease = LeaseName{command.lease()};
+    result.member = decode_member(command.member());
     const FencingToken token{command.fence()};
     const FencingToken own{at.value};
     std::vector<Member> absent;
     for (const auto& member : command.absent()) {
-        absent.push_back(member_from(member));
+        absent.push_back(decode_member(member));
     }
     switch (command.what()) {
         case wire::Command::TAKE:
-            effect.take = true;
-            leases.acquire(own, command.unix_time(), effect.lease, effect.member);
+            result.is_acquire = true;
+            leases.acquire(own, command.unix_time(), result.lease, result.member);
             break;
         case wire::Command::END:
-            leases.expire(own, command.unix_time(), effect.lease, token,
-                          within(command.end(), HoldingEnd::revoked), absent);
+            leases.end_holding(own, command.unix_time(), result.lease, token,
+                               clamp_enum(command.end(), HoldingEnd::revoked), absent);
             break;
         case wire::Command::TAKE_AWAY:
-            leases.revoke(effect.lease, token);
+            leases.revoke(result.lease, token);
             break;
         case wire::Command::STOP_WAITING:
-            leases.stop_waiting(effect.lease, effect.member);
+            leases.stop_waiting(result.lease, result.member);
             break;
         case wire::Command::RAISE:
-            effect.change = leases.raise(command.unix_time(), effect.lease, token, command.key(),
-                                         command.text());
+            result.change = leases.raise_alarm(command.unix_time(), result.lease, token,
+                                               command.key(), command.text());
             break;
         case wire::Command::CLEAR:
-            effect.change = leases.clear(effect.lease, token, command.key());
+            result.change = leases.clear_alarm(result.lease, token, command.key());
             break;
         case wire::Command::WRITE:
-            effect.change =
-                leases.write_document(effect.lease, token, command.number(), command.text());
-            effect.wrote = effect.change == lease::ChangeResult::done;
+            result.change =
+                leases.write_document(result.lease, token, command.number(), command.text());
+            result.document_written = result.change == lease::ChangeResult::done;
             break;
         case wire::Command::ADMIT:
             voter_membership.admit(cluster::Name{command.seat().name()},
@@ -207,7 +207,7 @@
         default:
             break;
     }
-    return effect;
+    return result;
 }
 
 }  // namespace tideline::planner
--- a/src/raft/quorum.hpp
+++ b/src/raft/quorum.hpp
@@ -10,14 +10,14 @@
 
 namespace tideline::raft {
 
-inline std::size_t voting_count(const VoterSet& voters) {
+inline std::size_t count_voters(const VoterSet& voters) {
     return static_cast<std::size_t>(
         std::count_if(voters.begin(), voters.end(), [](auto& each) { return each.second.votes; }));
 }
 
 // Returns how many voters make a majority. Any two majorities of one set have a voter in common.
-inline std::size_t majority_of(const VoterSet& voters) {
-    return voting_count(voters) / 2 + 1;
+inline std::size_t majority_size(const VoterSet& voters) {
+    return count_voters(voters) / 2 + 1;
 }
 
 inline bool votes_in(const VoterSet& voters, ServerId server) {
@@ -39,7 +39,7 @@
         return Value{};
     }
     std::sort(values.begin(), values.end(), std::greater<>());
-    return values[majority_of(voters) - 1];
+    return values[majority_size(voters) - 1];
 }
 
 }  // namespace tideline::raft
--- a/src/raft/raft.cpp
+++ b/src/raft/raft.cpp
@@ -97,7 +97,7 @@
         return step_down(StepDownReason::no_quorum);
     }
     heartbeat_due_ = now + settings_.heartbeat_interval;
-    broadcast();
+    broadcast_append_entries();
     persist_changes();
 }
 
@@ -136,7 +136,7 @@
 
 void Raft::send_pending_replies() {
     while (!pending_replies_.empty() &&
-           pending_replies_.front().after <= persistence_.last_persisted()) {
+           pending_replies_.front().persist_id <= persistence_.last_persisted()) {
         const PendingReply reply = pending_replies_.front();
         pending_replies_.pop_front();
         std::visit(
@@ -170,7 +170,7 @@
     }
     for (const PendingReply& reply : pending_replies_) {
         const auto* append_reply = std::get_if<AppendEntriesReply>(&reply.message);
-        text += fmt::format("o{}.{}.{}.{}", reply.after.value, reply.to.value,
+        text += fmt::format("o{}.{}.{}.{}", reply.persist_id.value, reply.to.value,
                             append_reply ? append_reply->match_index.value : 0,
                             append_reply == nullptr);
     }
--- a/src/raft/raft.hpp
+++ b/src/raft/raft.hpp
@@ -162,9 +162,9 @@
         Seconds last_reply_at = -1;
         bool in_flight = false;  // entries or a snapshot were sent and not replied to
     };
-    // A reply that is sent once the write `after` is durable.
+    // A reply that is sent once the write `persist_id` is durable.
     struct PendingReply {
-        PersistId after;
+        PersistId persist_id;
         ServerId to;
         std::variant<RequestVoteReply, AppendEntriesReply> message;
     };
@@ -195,9 +195,9 @@
     void accept_leader(Seconds now, ServerId leader, Term term);
     bool matches_previous(const AppendEntries& message) const;
     LogIndex index_to_retry_from(const AppendEntries& message) const;
-    LogIndex append_missing(const AppendEntries& message);
+    LogIndex append_missing_entries(const AppendEntries& message);
     void acknowledge(ServerId to, LogIndex match_index, Round round);
-    void broadcast();
+    void broadcast_append_entries();
     void send_append_entries(ServerId to);
     void advance_commit_index();
     void apply_committed();
--- a/src/raft/raft_election.cpp
+++ b/src/raft/raft_election.cpp
@@ -30,7 +30,7 @@
     // soon as the partition heals. So it first asks whether it would win the election.
     role_ = Role::pre_candidate;
     votes_granted_ = {self_};
-    if (majority_of(voters()) == 1) {
+    if (majority_size(voters()) == 1) {
         return become_candidate(now);
     }
     request_votes({vote_state_.term.value + 1}, true);
@@ -69,7 +69,7 @@
     }
     awaits_own_vote_ = false;
     votes_granted_.insert(self_);
-    if (majority_of(voters()) == 1) {
+    if (majority_size(voters()) == 1) {
         return become_leader(now);
     }
     request_votes(vote_state_.term, false);
@@ -115,7 +115,7 @@
             ++heard;
         }
     }
-    return heard >= majority_of(voters());
+    return heard >= majority_size(voters());
 }
 
 bool Raft::hears_leader(Seconds now) const {
@@ -184,7 +184,7 @@
             return;
         }
         votes_granted_.insert(from);
-        if (votes_granted_.size() >= majority_of(voters())) {
+        if (votes_granted_.size() >= majority_size(voters())) {
             become_candidate(now);
         }
         return;
@@ -197,7 +197,7 @@
         return;
     }
     votes_granted_.insert(from);
-    if (votes_granted_.size() >= majority_of(voters())) {
+    if (votes_granted_.size() >= majority_size(voters())) {
         become_leader(now);
     }
 }
@@ -218,7 +218,7 @@
     append({vote_state_.term, EntryKind::no_op, {}, {}});
     term_start_index_ = log_.last_index();
     heartbeat_due_ = now + settings_.heartbeat_interval;
-    broadcast();
+    broadcast_append_entries();
     persist_changes();
     advance_commit_index();
     check_invariants();
--- a/src/raft/raft_membership.cpp
+++ b/src/raft/raft_membership.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 // Counts the servers that have a vote in one set but not in the other.
-std::size_t changed_votes(const VoterSet& before, const VoterSet& after) {
+std::size_t count_changed_votes(const VoterSet& before, const VoterSet& after) {
     VoterSet all = before;
     all.insert(after.begin(), after.end());
     std::size_t changed = 0;
@@ -28,11 +28,12 @@
     if (!is_ready_leader() || log_.changes_voters_after(commit_index_)) {
         return false;
     }
-    if (changed_votes(voters(), wanted) > 1 || voting_count(wanted) == 0 || wanted == voters()) {
+    if (count_changed_votes(voters(), wanted) > 1 || count_voters(wanted) == 0 ||
+        wanted == voters()) {
         return false;
     }
     append({vote_state_.term, EntryKind::voters, {}, wanted});
-    broadcast();
+    broadcast_append_entries();
     persist_changes();
     advance_commit_index();
     check_invariants();
--- a/src/raft/raft_replication.cpp
+++ b/src/raft/raft_replication.cpp
@@ -50,7 +50,7 @@
 
 // Appends the entries of the message that the log does not have yet, after it has removed those
 // that conflict with them. Returns the index of the last entry of the message.
-LogIndex Raft::append_missing(const AppendEntries& message) {
+LogIndex Raft::append_missing_entries(const AppendEntries& message) {
     LogIndex index = message.prev_log_index;
     for (const LogEntry& entry : message.entries) {
         ++index.value;
@@ -96,7 +96,7 @@
             from, AppendEntriesReply{vote_state_.term, false, index_to_retry_from(message),
                                      message.round});
     }
-    const LogIndex match_index = append_missing(message);
+    const LogIndex match_index = append_missing_entries(message);
     persist_changes();
     acknowledge(from, match_index, message.round);
     const LogIndex committed = std::min(message.leader_commit, match_index);
@@ -142,7 +142,7 @@
     }
 }
 
-void Raft::broadcast() {
+void Raft::broadcast_append_entries() {
     ++round_.value;
     for (const auto& [server, voter] : voters()) {
         if (server == self_) {
@@ -196,7 +196,7 @@
     commit_index_ = replicated;
     apply_committed();
     if (!is_voter()) {
-        broadcast();
+        broadcast_append_entries();
         step_down(StepDownReason::removed_from_voters);
     }
 }
@@ -226,7 +226,7 @@
 }
 
 Round Raft::start_round() {
-    broadcast();
+    broadcast_append_entries();
     return round_;
 }
 
--- a/src/raft/voter_membership.cpp
+++ b/src/raft/voter_membership.cpp
@@ -20,11 +20,11 @@
     known_ = std::move(known);
 }
 
-std::optional<VoterSet> VoterMembership::step(
-    const VoterSet& now, const std::function<bool(ServerId)>& caught_up) const {
-    VoterSet next = now;
+std::optional<VoterSet> VoterMembership::next_voter_set(
+    const VoterSet& current, const std::function<bool(ServerId)>& caught_up) const {
+    VoterSet next = current;
     for (const auto& [server, voter] : admitted_) {
-        if (now.contains(server)) {
+        if (current.contains(server)) {
             continue;
         }
         next[server] = {voter.name, voter.address, false};
@@ -32,14 +32,14 @@
     }
     std::optional<ServerId> ready;
     for (const auto& [server, voter] : admitted_) {
-        if (!now.at(server).votes && caught_up(server) && !ready) {
+        if (!current.at(server).votes && caught_up(server) && !ready) {
             ready = server;
         }
     }
     // Invariant: the servers of a planner's former and present disk never vote at the same time. A
     // server whose disk is lost still counts towards the size of a majority. It is removed before
     // its successor gets a vote, but only once the successor has caught up.
-    for (const auto& [server, voter] : now) {
+    for (const auto& [server, voter] : current) {
         if (admitted_.contains(server)) {
             continue;
         }
--- a/src/raft/voter_membership.hpp
+++ b/src/raft/voter_membership.hpp
@@ -22,21 +22,21 @@
     // new server get its vote. Servers whose planner is no longer admitted are removed before a
     // learner gets a vote. Returns nothing if no change is left, or if the next one has to wait
     // until a learner has caught up.
-    std::optional<VoterSet> step(const VoterSet& now,
-                                 const std::function<bool(ServerId)>& caught_up) const;
+    std::optional<VoterSet> next_voter_set(const VoterSet& current,
+                                           const std::function<bool(ServerId)>& caught_up) const;
     // Whether a planner of this name was ever admitted. If so, only an operator may admit it with
     // another disk.
-    bool known(const Name& name) const {
+    bool is_known(const Name& name) const {
         return known_.contains(name);
     }
-    bool admitted(ServerId server) const {
+    bool is_admitted(ServerId server) const {
         return admitted_.contains(server);
     }
     // The voter set once all changes are done.
-    const VoterSet& wanted() const {
+    const VoterSet& target_voters() const {
         return admitted_;
     }
-    const std::set<Name>& names() const {
+    const std::set<Name>& known_names() const {
         return known_;
     }
     void restore(VoterSet admitted, std::set<Name> known);
--- a/src/slow_start/slow_start_coordinator.cpp
+++ b/src/slow_start/slow_start_coordinator.cpp
@@ -49,8 +49,8 @@
     members_.clear();
 }
 void SlowStartCoordinator::receive_recent_attempts(Seconds now, const Name& member,
-                                                   double in_window) {
-    members_[member] = {std::max(0.0, in_window), now};
+                                                   double recent_attempts) {
+    members_[member] = {std::max(0.0, recent_attempts), now};
 }
 Seconds SlowStartCoordinator::due() const {
     return holds_lease_ && !endpoints_.empty() ? next_allocation_
@@ -67,7 +67,7 @@
     std::erase_if(endpoints_, [&](const auto& endpoint) {
         return now > endpoint.second.started + settings_.warm_up_time;
     });
-    ++first_member_;
+    ++tick_count_;
     for (auto& [id, endpoint] : endpoints_) {
         allocate_endpoint(now, id, endpoint);
     }
@@ -127,7 +127,7 @@
         names.push_back(name);
     }
     for (std::size_t i = 0; allocated < endpoint_limit && i < names.size(); ++i, ++allocated) {
-        ++targets[names[(first_member_ / kTicksPerTurn + i) % names.size()]];
+        ++targets[names[(tick_count_ / kTicksPerTurn + i) % names.size()]];
     }
     return targets;
 }
--- a/src/slow_start/slow_start_coordinator.hpp
+++ b/src/slow_start/slow_start_coordinator.hpp
@@ -60,7 +60,7 @@
     }
     // Handles a member's report of how many attempts it sent to all endpoints within the last
     // window.
-    void receive_recent_attempts(Seconds now, const Name& member, double in_window);
+    void receive_recent_attempts(Seconds now, const Name& member, double recent_attempts);
     void tick(Seconds now);
     Seconds due() const;
     // The most attempts that all members together may send to the endpoint within any one window.
@@ -95,7 +95,7 @@
     bool holds_lease_ = false;
     Seconds next_allocation_ = 0;
     std::size_t ready_endpoints_ = 0;
-    std::size_t first_member_ = 0;
+    std::size_t tick_count_ = 0;
     std::map<EndpointId, Endpoint> endpoints_;
     std::map<Name, MemberLoad> members_;
 };
--- a/src/storage/sqlite_database.cpp
+++ b/src/storage/sqlite_database.cpp
@@ -29,7 +29,7 @@
     const int opened = sqlite3_open(path_.c_str(), &db);
     db_.reset(db);
     if (opened != SQLITE_OK) {
-        failed("open");
+        throw_error("open");
     }
     sqlite3_busy_timeout(db, kBusyTimeoutMs);
     // Invariant: only one process has the file open. Two planners on one disk could both vote in
@@ -41,16 +41,16 @@
 }
 void SqliteDatabase::run(const char* sql) {
     if (sqlite3_exec(db_.get(), sql, nullptr, nullptr, nullptr) != SQLITE_OK) {
-        failed(sql);
+        throw_error(sql);
     }
 }
 bool SqliteDatabase::sound() {
     Statement check(*this, "PRAGMA quick_check(1)");
     return check.step() && check.bytes(0) == "ok";
 }
-void SqliteDatabase::failed(const std::string& doing) const {
+void SqliteDatabase::throw_error(const std::string& operation) const {
     const std::string reason =
-        fmt::format("{}: {} ({})", path_, sqlite3_errmsg(db_.get()), doing.substr(0, 40));
+        fmt::format("{}: {} ({})", path_, sqlite3_errmsg(db_.get()), operation.substr(0, 40));
     const int code = sqlite3_errcode(db_.get());
     if (code == SQLITE_CORRUPT || code == SQLITE_NOTADB) {
         throw DamagedFileError(reason);
@@ -61,7 +61,7 @@
 SqliteDatabase::Statement::Statement(const SqliteDatabase& database, const char* sql)
     : database_(database) {
     if (sqlite3_prepare_v2(database.db_.get(), sql, -1, &handle_, nullptr) != SQLITE_OK) {
-        database.failed(sql);
+        database.throw_error(sql);
     }
 }
 SqliteDatabase::Statement& SqliteDatabase::Statement::with(int at, std::int64_t value) {
@@ -78,7 +78,7 @@
         return true;
     }
     if (result != SQLITE_DONE) {
-        database_.failed(sqlite3_sql(handle_));
+        database_.throw_error(sqlite3_sql(handle_));
     }
     return false;
 }
--- a/src/storage/sqlite_database.hpp
+++ b/src/storage/sqlite_database.hpp
@@ -73,8 +73,8 @@
 
   private:
     friend class Transaction;
-    // Throws the present SQLite error; `doing` names the operation that failed.
-    [[noreturn]] void failed(const std::string& doing) const;
+    // Throws the present SQLite error; `operation` names the operation that failed.
+    [[noreturn]] void throw_error(const std::string& operation) const;
     struct Close {
         void operator()(sqlite3* db) const {
             sqlite3_close(db);
