--- a/src/lease/lease_manager.cpp
+++ b/src/lease/lease_manager.cpp
@@ -8,9 +8,10 @@
 namespace tideline::lease {
 namespace {
 
-constexpr Seconds kSweepInterval = 5;  // s: of the times of members' requests
+// The interval at which outdated times of members' requests are removed.
+constexpr Seconds kSweepInterval = 5;
 
-// The place of a member among the waiters, from 1; 0 if it does not wait.
+// Returns the member's position among the waiters, counted from 1; 0 if it is not among them.
 std::size_t queue_position(const Lease& lease, const Member& member) {
     const auto it = std::find(lease.waiting.begin(), lease.waiting.end(), member);
     return it == lease.waiting.end() ? 0 : static_cast<std::size_t>(it - lease.waiting.begin()) + 1;
@@ -32,8 +33,9 @@
     is_leader_ = true;
     leader_since_ = now;
     timers_.clear();
-    // Invariant: no lease is granted anew before its holder can no longer act. An earlier leader
-    // may have renewed any of these up to the moment when this one was elected.
+    // Invariant: a lease is not granted to another member while its holder may still act. An
+    // earlier leader may have renewed any of these leases until this planner was elected, so each
+    // is given its full time from now.
     for (const auto& [name, lease] : leases_->leases()) {
         if (lease.now.token > FencingToken{}) {
             timers_[name] = {lease.now.token, now + settings_.wait(), 0, true, false};
@@ -50,7 +52,7 @@
     }
     timers_.clear();
     pending_acquires_.clear();
-    last_asked_at_.clear();
+    last_requested_at_.clear();
     pending_renewals_.clear();
 }
 
@@ -60,26 +62,27 @@
         return host_->reply(id, Answer::not_now, {}, 0, 0);
     }
     const Lease* lease = leases_->find(name);
-    const auto too_long = [](const std::string& text) {
-        return text.empty() || text.size() > kNameMost;
+    const auto is_invalid_name = [](const std::string& text) {
+        return text.empty() || text.size() > kMaxNameBytes;
     };
-    if (too_long(name.value) || too_long(member.name.value) ||
-        (!lease && leases_->leases().size() >= kLeasesMost)) {
+    if (is_invalid_name(name.value) || is_invalid_name(member.name.value) ||
+        (!lease && leases_->leases().size() >= kMaxLeases)) {
         return host_->reply(id, Answer::refused, {}, 0, 0);
     }
     if (lease && lease->now.holder == member && lease->now.token > FencingToken{}) {
         return renew(now, id, name, lease->now.token);
     }
-    last_asked_at_[{name, member}] = now;
+    last_requested_at_[{name, member}] = now;
     if (lease && queue_position(*lease, member) > 0) {
         return host_->reply(id, Answer::waiting, lease->now.token, 0,
                             queue_position(*lease, member));
     }
-    if (lease && lease->now.token > FencingToken{} && lease->waiting.size() >= kWaitersMost) {
+    if (lease && lease->now.token > FencingToken{} && lease->waiting.size() >= kMaxWaiters) {
         return host_->reply(id, Answer::refused, {}, 0, 0);
     }
-    // Only the request that led to the entry may be answered by its grant. A later one can reach a
-    // planner that is no longer the leader, after its successor started to wait for the holder.
+    // Only the request that led to the entry is answered with its grant. A later request may reach
+    // this planner when it is no longer the leader, after its successor has started the timer of
+    // the holding.
     if (!pending_acquires_.try_emplace({name, member}, id).second) {
         return host_->reply(id, Answer::waiting, {}, 0, 0);
     }
@@ -100,13 +103,13 @@
                          FencingToken token) {
     const auto timer = timers_.find(name);
     const Lease* lease = leases_->find(name);
-    // A holding whose end is proposed may not be renewed.
+    // A holding whose end is proposed must not be renewed.
     if (timer == timers_.end() || timer->second.token != token || timer->second.ending ||
         lease->withdrawn) {
         return host_->reply(id, Answer::over, token, 0, 0);
     }
-    // A planner that was cut off or stopped may no longer be the leader. A majority has to confirm
-    // first that it is.
+    // A planner that was partitioned or paused may no longer be the leader. A majority has to
+    // confirm that it is before the renewal is granted.
     pending_renewals_.emplace(host_->start_round(), PendingRenewal{id, name, token, now});
 }
 void LeaseManager::handle_release(Seconds now, LeaseRequestId id, const LeaseName& name,
@@ -118,7 +121,7 @@
     const auto timer = timers_.find(name);
     if (lease && lease->now.holder == member && timer != timers_.end() &&
         timer->second.token == token && !timer->second.ending) {
-        end(name, timer->second, HoldingEnd::released, now);
+        end_holding(name, timer->second, HoldingEnd::released, now);
     }
     host_->reply(id, Answer::over, token, 0, 0);
 }
@@ -138,23 +141,24 @@
     if (!is_leader_) {
         return;
     }
-    const auto asked = pending_acquires_.find({name, member});
-    const bool mine = asked != pending_acquires_.end();
-    const LeaseRequestId id = mine ? asked->second : LeaseRequestId{};
-    if (mine) {
-        pending_acquires_.erase(asked);
+    const auto pending = pending_acquires_.find({name, member});
+    const bool requested_here = pending != pending_acquires_.end();
+    const LeaseRequestId id = requested_here ? pending->second : LeaseRequestId{};
+    if (requested_here) {
+        pending_acquires_.erase(pending);
     }
     const Lease* lease = leases_->find(name);
-    const bool fresh = lease && lease->now.holder == member && lease->now.token > FencingToken{} &&
-                       timers_[name].token != lease->now.token;
-    if (fresh) {
-        timers_[name] = {lease->now.token, now + settings_.wait(), now + settings_.claim, mine,
-                         false};
-    }
-    if (!mine) {
+    const bool newly_granted = lease && lease->now.holder == member &&
+                               lease->now.token > FencingToken{} &&
+                               timers_[name].token != lease->now.token;
+    if (newly_granted) {
+        timers_[name] = {lease->now.token, now + settings_.wait(), now + settings_.claim,
+                         requested_here, false};
+    }
+    if (!requested_here) {
         return;
     }
-    if (fresh) {
+    if (newly_granted) {
         return host_->reply(id, Answer::granted, lease->now.token, settings_.span, 0);
     }
     if (!lease) {
@@ -174,7 +178,8 @@
     if (timers_[name].token == lease->now.token) {
         return;
     }
-    // The lease went to a waiter, which has not asked just now: the grant is answered once it does.
+    // The lease was granted to a waiter that has no pending request. The grant is sent in answer to
+    // its next request.
     timers_[name] = {lease->now.token, now + settings_.wait(), now + settings_.claim, false, false};
     host_->notify_turn(lease->now.holder, name, lease->now.token);
 }
@@ -195,20 +200,21 @@
     }
 }
 
-std::vector<Member> LeaseManager::absent(Seconds now, const LeaseName& name) const {
+std::vector<Member> LeaseManager::find_absent_waiters(Seconds now, const LeaseName& name) const {
     std::vector<Member> all;
     for (const Member& each : leases_->find(name)->waiting) {
-        const auto heard = last_asked_at_.find({name, each});
-        if (now > std::max(leader_since_, heard == last_asked_at_.end() ? 0 : heard->second) +
+        const auto heard = last_requested_at_.find({name, each});
+        if (now > std::max(leader_since_, heard == last_requested_at_.end() ? 0 : heard->second) +
                       settings_.absent) {
             all.push_back(each);
         }
     }
     return all;
 }
-void LeaseManager::end(const LeaseName& name, HoldingTimer& timer, HoldingEnd how, Seconds now) {
+void LeaseManager::end_holding(const LeaseName& name, HoldingTimer& timer, HoldingEnd reason,
+                               Seconds now) {
     timer.ending = true;
-    host_->propose_end(name, timer.token, how, absent(now, name));
+    host_->propose_end(name, timer.token, reason, find_absent_waiters(now, name));
 }
 void LeaseManager::tick(Seconds now) {
     if (!is_leader_) {
@@ -219,19 +225,19 @@
             continue;
         }
         if (now >= timer.until) {
-            end(name, timer, HoldingEnd::expired, now);
+            end_holding(name, timer, HoldingEnd::expired, now);
         } else if (!timer.answered && now >= timer.claim_by) {
-            end(name, timer, HoldingEnd::unclaimed, now);
+            end_holding(name, timer, HoldingEnd::unclaimed, now);
         }
     }
-    forget(now);
+    remove_old_request_times(now);
 }
-void LeaseManager::forget(Seconds now) {
-    if (now < forget_at_) {
+void LeaseManager::remove_old_request_times(Seconds now) {
+    if (now < next_sweep_at_) {
         return;
     }
-    forget_at_ = now + kSweepInterval;
-    std::erase_if(last_asked_at_,
+    next_sweep_at_ = now + kSweepInterval;
+    std::erase_if(last_requested_at_,
                   [&](const auto& each) { return now > each.second + 2 * settings_.absent; });
 }
 Seconds LeaseManager::due() const {
--- a/src/lease/lease_state_machine.cpp
+++ b/src/lease/lease_state_machine.cpp
@@ -13,7 +13,7 @@
 
 void LeaseStateMachine::acquire(FencingToken at, double unix_time, const LeaseName& name,
                                 const Member& member) {
-    if (!leases_.contains(name) && leases_.size() >= kLeasesMost) {
+    if (!leases_.contains(name) && leases_.size() >= kMaxLeases) {
         return;
     }
     Lease& lease = leases_[name];
@@ -24,18 +24,18 @@
         lease.now = {at, member, unix_time, 0, HoldingEnd::held};
         return;
     }
-    const bool waits =
+    const bool is_waiting =
         std::find(lease.waiting.begin(), lease.waiting.end(), member) != lease.waiting.end();
-    if (!waits && lease.waiting.size() < kWaitersMost) {
+    if (!is_waiting && lease.waiting.size() < kMaxWaiters) {
         lease.waiting.push_back(member);
     }
 }
 void LeaseStateMachine::end(FencingToken at, double unix_time, const LeaseName& name, Lease& lease,
-                            HoldingEnd how, const std::vector<Member>& absent) {
+                            HoldingEnd reason, const std::vector<Member>& absent) {
     lease.now.to = unix_time;
-    lease.now.end = how;
+    lease.now.end = reason;
     lease.past.push_back(lease.now);
-    if (lease.past.size() > kPastMost) {
+    if (lease.past.size() > kMaxPastHoldings) {
         lease.past.pop_front();
     }
     for (const Member& each : absent) {
@@ -43,32 +43,33 @@
     }
     lease.now = {};
     lease.withdrawn = false;
-    // One waiter gets it, so that the others need not all come at once.
+    // The lease passes directly to one waiter, so that the others do not all request it at once.
     if (!lease.waiting.empty()) {
         lease.now = {at, lease.waiting.front(), unix_time, 0, HoldingEnd::held};
         lease.waiting.pop_front();
-    } else if (leases_.size() >= kLeasesMost && !raised_alarms_.contains(name) &&
+    } else if (leases_.size() >= kMaxLeases && !raised_alarms_.contains(name) &&
                !documents_.contains(name)) {
-        leases_.erase(name);  // room for another task
+        leases_.erase(name);  // makes room for a lease of another name
     }
 }
-void LeaseStateMachine::expire(FencingToken at, double unix_time, const LeaseName& name,
-                               FencingToken token, HoldingEnd how,
-                               const std::vector<Member>& absent) {
+void LeaseStateMachine::end_holding(FencingToken at, double unix_time, const LeaseName& name,
+                                    FencingToken token, HoldingEnd reason,
+                                    const std::vector<Member>& absent) {
     const auto it = leases_.find(name);
-    // A delayed or repeated command about an earlier holding may not end the present one.
+    // A delayed or repeated command for an earlier holding must not end the present one.
     if (it == leases_.end() || it->second.now.token != token || token == FencingToken{}) {
         return;
     }
-    end(at, unix_time, name, it->second, it->second.withdrawn ? HoldingEnd::revoked : how, absent);
+    end(at, unix_time, name, it->second, it->second.withdrawn ? HoldingEnd::revoked : reason,
+        absent);
 }
 void LeaseStateMachine::revoke(const LeaseName& name, FencingToken token) {
     const auto it = leases_.find(name);
     if (it == leases_.end() || it->second.now.token != token || token == FencingToken{}) {
         return;
     }
-    // Its holder may act until its time is over, so the lease is only not renewed. The next holder
-    // waits that long.
+    // The holder may act until the lease expires, so revoking only prevents the renewal. The next
+    // grant comes after the expiry.
     it->second.withdrawn = true;
 }
 void LeaseStateMachine::stop_waiting(const LeaseName& name, const Member& member) {
@@ -78,27 +79,28 @@
     }
 }
 
-ChangeResult LeaseStateMachine::raise(double unix_time, const LeaseName& name, FencingToken token,
-                                      const std::string& key, const std::string& text) {
+ChangeResult LeaseStateMachine::raise_alarm(double unix_time, const LeaseName& name,
+                                            FencingToken token, const std::string& key,
+                                            const std::string& text) {
     const Lease* lease = find(name);
-    // A former holder may not raise alarms beside its successor.
+    // A former holder must not raise alarms while its successor does.
     if (!lease || lease->now.token != token || token == FencingToken{}) {
         return ChangeResult::stale_token;
     }
     auto& all = raised_alarms_[name];
-    // Raised as before, by whoever and since when it was; only its text is newer.
+    // An alarm that is raised already keeps its token and its time; only its text is updated.
     if (const auto raised = all.find(key); raised != all.end()) {
         raised->second.text = text;
         return ChangeResult::unchanged;
     }
-    if (all.size() >= kRaisedMost) {
+    if (all.size() >= kMaxRaisedAlarms) {
         return ChangeResult::unchanged;
     }
     all.emplace(key, RaisedAlarm{token, unix_time, text});
     return ChangeResult::done;
 }
-ChangeResult LeaseStateMachine::clear(const LeaseName& name, FencingToken token,
-                                      const std::string& key) {
+ChangeResult LeaseStateMachine::clear_alarm(const LeaseName& name, FencingToken token,
+                                            const std::string& key) {
     const Lease* lease = find(name);
     if (!lease || lease->now.token != token || token == FencingToken{}) {
         return ChangeResult::stale_token;
@@ -111,13 +113,14 @@
 ChangeResult LeaseStateMachine::write_document(const LeaseName& name, FencingToken token,
                                                std::uint64_t number, const std::string& bytes) {
     const Lease* lease = find(name);
-    // Neither a former holder, nor one that has not seen the newest document, may overwrite it.
+    // The document must not be overwritten by a former holder, nor by a holder that has not seen
+    // the newest version.
     if (!lease || lease->now.token != token || token == FencingToken{}) {
         return ChangeResult::stale_token;
     }
     const auto it = documents_.find(name);
     const std::uint64_t last = it == documents_.end() ? 0 : it->second.number;
-    if (number != last + 1 || bytes.size() > kWrittenMost) {
+    if (number != last + 1 || bytes.size() > kMaxDocumentBytes) {
         return ChangeResult::unchanged;
     }
     documents_[name] = {number, bytes};
--- a/src/planner/planner_core.cpp
+++ b/src/planner/planner_core.cpp
@@ -14,16 +14,18 @@
 using raft::Name;
 using raft::ServerId;
 
-constexpr std::uint64_t kCaughtUpEntries = 64;  // a learner that lacks at most these has caught up
-constexpr Seconds kLearnerTimeout = 2;          // s: a learner not heard for longer is not counted
+// A learner that lacks at most this many committed entries has caught up.
+constexpr std::uint64_t kCaughtUpEntries = 64;
+// A learner whose last reply is older has not caught up, whatever it has persisted.
+constexpr Seconds kLearnerTimeout = 2;
 
-void put_member(const Member& member, wire::Member& to) {
+void encode_member(const Member& member, wire::Member& to) {
     to.set_name(member.name.value);
     to.set_life(member.incarnation.value);
 }
 
-// Whether the entry at `at` may have changed the holder of the lease: it granted the lease, or
-// nobody holds it.
+// Whether the entry at index `at` may have changed the holder of the lease: it granted the lease,
+// or nobody holds the lease any more.
 bool may_have_new_holder(const lease::Lease* lease, LogIndex at) {
     if (!lease) {
         return false;
@@ -56,43 +58,43 @@
       lease_manager_(other.lease_manager_, *this, leases_),
       raft_(other.raft_, host, *this),
       leader_term_(other.leader_term_),
-      pending_decisions_(other.pending_decisions_),
+      pending_commands_(other.pending_commands_),
       wants_round_(other.wants_round_) {}
 
 raft::PersistentState PlannerCore::initial_state(ServerId self, const Name& name,
                                                  const std::string& address) {
     raft::VoterMembership first;
     first.admit(name, self, address);
-    return {{{1}, {}}, {{1}, {1}, first.wanted(), state_of({}, first)}, {}};
+    return {{{1}, {}}, {{1}, {1}, first.target_voters(), state_of({}, first)}, {}};
 }
 
 void PlannerCore::apply(LogIndex at, const LogEntry& entry) {
     if (entry.kind != raft::EntryKind::command) {
         return;
     }
-    const Effect effect = planner::apply(entry.command, at, leases_, voter_membership_);
-    if (effect.wrote || may_have_new_holder(leases_.find(effect.lease), at)) {
-        host_->holder_changed(effect.lease);
+    const CommandResult result = planner::apply(entry.command, at, leases_, voter_membership_);
+    if (result.document_written || may_have_new_holder(leases_.find(result.lease), at)) {
+        host_->holder_changed(result.lease);
     }
-    if (effect.take) {
-        lease_manager_.on_acquire_applied(now_, effect.lease, effect.member);
-    } else if (!effect.lease.value.empty()) {
-        lease_manager_.on_applied(now_, effect.lease);
+    if (result.is_acquire) {
+        lease_manager_.on_acquire_applied(now_, result.lease, result.member);
+    } else if (!result.lease.value.empty()) {
+        lease_manager_.on_applied(now_, result.lease);
     }
-    answer_decided(at, effect.change);
+    answer_command_request(at, result.change);
 }
-// Answers the request that the entry decides, if it was made here.
-void PlannerCore::answer_decided(LogIndex at, lease::ChangeResult change) {
-    const auto decided = pending_decisions_.find(at);
-    if (decided == pending_decisions_.end()) {
+// Answers the request whose command the entry holds, if this planner received it.
+void PlannerCore::answer_command_request(LogIndex at, lease::ChangeResult change) {
+    const auto pending = pending_commands_.find(at);
+    if (pending == pending_commands_.end()) {
         return;
     }
     if (change == lease::ChangeResult::stale_token) {
-        host_->reply(decided->second, Answer::over, {}, 0, 0);
+        host_->reply(pending->second, Answer::over, {}, 0, 0);
     } else {
-        host_->on_command_committed(decided->second, change == lease::ChangeResult::done);
+        host_->on_command_committed(pending->second, change == lease::ChangeResult::done);
     }
-    pending_decisions_.erase(decided);
+    pending_commands_.erase(pending);
 }
 void PlannerCore::restore(const Snapshot& snapshot) {
     if (!planner::restore(snapshot.state, leases_, voter_membership_)) {
@@ -108,18 +110,18 @@
     wire::Command command;
     command.set_what(wire::Command::TAKE);
     command.set_lease(lease.value);
-    put_member(member, *command.mutable_member());
+    encode_member(member, *command.mutable_member());
     propose(command);
 }
-void PlannerCore::propose_end(const LeaseName& lease, FencingToken token, lease::HoldingEnd how,
+void PlannerCore::propose_end(const LeaseName& lease, FencingToken token, lease::HoldingEnd reason,
                               const std::vector<Member>& absent) {
     wire::Command command;
     command.set_what(wire::Command::END);
     command.set_lease(lease.value);
     command.set_fence(token.value);
-    command.set_end(static_cast<std::uint32_t>(how));
+    command.set_end(static_cast<std::uint32_t>(reason));
     for (const Member& each : absent) {
-        put_member(each, *command.add_absent());
+        encode_member(each, *command.add_absent());
     }
     propose(command);
 }
@@ -127,15 +129,15 @@
     wire::Command command;
     command.set_what(wire::Command::STOP_WAITING);
     command.set_lease(lease.value);
-    put_member(member, *command.mutable_member());
+    encode_member(member, *command.mutable_member());
     propose(command);
 }
 lease::RoundId PlannerCore::start_round() {
-    // All requests of one pass of the event loop share one round.
+    // All requests of one iteration of the event loop share one round.
     wants_round_ = true;
     return {raft_.current_round().value + 1};
 }
-void PlannerCore::decide(Seconds now, LeaseRequestId id, wire::Command& command) {
+void PlannerCore::propose_for_request(Seconds now, LeaseRequestId id, wire::Command& command) {
     now_ = now;
     if (!lease_manager_.is_leader()) {
         return host_->reply(id, Answer::not_now, {}, 0, 0);
@@ -144,7 +146,7 @@
     if (at.value == 0) {
         return host_->reply(id, Answer::not_now, {}, 0, 0);
     }
-    pending_decisions_[at] = id;
+    pending_commands_[at] = id;
     after_event(now);
 }
 
@@ -184,7 +186,7 @@
     command.set_fence(token.value);
     command.set_key(key);
     command.set_text(text);
-    decide(now, id, command);
+    propose_for_request(now, id, command);
 }
 void PlannerCore::write_document(Seconds now, LeaseRequestId id, const LeaseName& lease,
                                  FencingToken token, std::uint64_t number,
@@ -198,7 +200,7 @@
     command.set_fence(token.value);
     command.set_number(number);
     command.set_text(bytes);
-    decide(now, id, command);
+    propose_for_request(now, id, command);
 }
 void PlannerCore::revoke(Seconds now, LeaseRequestId id, const LeaseName& lease) {
     const lease::Lease* found = leases_.find(lease);
@@ -209,7 +211,7 @@
     command.set_what(wire::Command::TAKE_AWAY);
     command.set_lease(lease.value);
     command.set_fence(found ? found->now.token.value : 0);
-    decide(now, id, command);
+    propose_for_request(now, id, command);
 }
 void PlannerCore::admit(Seconds now, LeaseRequestId id, ServerId server, const Name& name,
                         const std::string& address) {
@@ -218,13 +220,13 @@
     command.mutable_seat()->set_peer(server.value);
     command.mutable_seat()->set_name(name.value);
     command.mutable_seat()->set_address(address);
-    decide(now, id, command);
+    propose_for_request(now, id, command);
 }
 void PlannerCore::remove(Seconds now, LeaseRequestId id, const Name& name) {
     wire::Command command;
     command.set_what(wire::Command::REMOVE);
     command.mutable_seat()->set_name(name.value);
-    decide(now, id, command);
+    propose_for_request(now, id, command);
 }
 
 void PlannerCore::tick(Seconds now) {
@@ -244,12 +246,12 @@
     now_ = now;
     if (lease_manager_.is_leader() && (!raft_.is_leader() || raft_.term() != leader_term_)) {
         lease_manager_.on_leadership_lost();
-        for (const auto& [at, id] : std::exchange(pending_decisions_, {})) {
+        for (const auto& [at, id] : std::exchange(pending_commands_, {})) {
             host_->reply(id, Answer::not_now, {}, 0, 0);
         }
     }
-    // Invariant: a new leader answers only once it has applied what was committed before its term.
-    // Otherwise it could renew a lease that a committed entry ends.
+    // Invariant: a new leader answers requests only once it has applied all entries that were
+    // committed before its term. Otherwise it could renew a lease that a committed entry ends.
     if (!lease_manager_.is_leader() && raft_.is_ready_leader()) {
         leader_term_ = raft_.term();
         lease_manager_.on_leadership_gained(now);
@@ -264,14 +266,14 @@
         raft_.compact(raft_.last_applied(), state_of(leases_, voter_membership_));
     }
 }
-// Proposes the next step towards the voters that were admitted.
+// Proposes the next change of the voter set towards the admitted planners.
 void PlannerCore::advance_voters(Seconds now) {
     const auto caught_up = [&](ServerId server) {
         const bool has_log =
             raft_.match_index(server).value + kCaughtUpEntries >= raft_.commit_index().value;
         return has_log && raft_.time_since_reply(now, server) < kLearnerTimeout;
     };
-    const auto next = voter_membership_.step(raft_.voters(), caught_up);
+    const auto next = voter_membership_.next_voter_set(raft_.voters(), caught_up);
     if (next && raft_.change_voters(*next)) {
         host_->log_event(fmt::format("changing voters: servers={}", next->size()));
     }
--- a/src/planner/planner_directory.cpp
+++ b/src/planner/planner_directory.cpp
@@ -3,8 +3,10 @@
 namespace tideline::planner {
 namespace {
 
-constexpr Seconds kRouteTimeout = 60;  // s: a member that waits repeats its request more often
-constexpr Seconds kAnnouncementTimeout = 5;  // s: announcements come once a second
+// Longer than the interval at which a member in the queue repeats its request.
+constexpr Seconds kRouteTimeout = 60;
+// Planners announce themselves once a second.
+constexpr Seconds kAnnouncementTimeout = 5;
 
 template <class Map, class MapKey>
 auto find_in(Map& map, const MapKey& key) -> decltype(&map.begin()->second) {
@@ -14,27 +16,27 @@
 
 }  // namespace
 
-void PlannerDirectory::heard_planner(raft::ServerId server, const cluster::Name& name,
-                                     const std::string& address) {
+void PlannerDirectory::record_planner(raft::ServerId server, const cluster::Name& name,
+                                      const std::string& address) {
     planners_[server] = {name, address};
 }
 
-const PlannerAddress* PlannerDirectory::planner(raft::ServerId server) const {
+const PlannerAddress* PlannerDirectory::find_planner(raft::ServerId server) const {
     return find_in(planners_, server);
 }
 
-void PlannerDirectory::heard_announcement(Seconds now, const cluster::Name& name,
-                                          raft::ServerId server, const std::string& address) {
+void PlannerDirectory::record_announcement(Seconds now, const cluster::Name& name,
+                                           raft::ServerId server, const std::string& address) {
     joining_[name] = {server, address, now};
 }
 
-const JoiningPlanner* PlannerDirectory::joining(const cluster::Name& name) const {
+const JoiningPlanner* PlannerDirectory::find_joining_planner(const cluster::Name& name) const {
     return find_in(joining_, name);
 }
 
-void PlannerDirectory::heard_member(Seconds now, const lease::Member& member,
-                                    const cluster::LinkId& link,
-                                    const cluster::Name& forwarded_by) {
+void PlannerDirectory::record_member(Seconds now, const lease::Member& member,
+                                     const cluster::LinkId& link,
+                                     const cluster::Name& forwarded_by) {
     member_routes_[member] = {link, forwarded_by, now};
 }
 
--- a/src/planner/planner_requests.cpp
+++ b/src/planner/planner_requests.cpp
@@ -16,11 +16,14 @@
 using lease::LeaseRequestId;
 using lease::Member;
 
-constexpr Seconds kWatchTimeout = 15;       // s: subscribers renew their subscription before
-constexpr std::size_t kMaxWatchers = 4096;  // each is notified of each change
-// At once: members of a large cluster, some with two requests.
+// A subscription that is not renewed for this time expires.
+constexpr Seconds kWatchTimeout = 15;
+// Bounds the cost of a change, of which every subscriber is notified.
+constexpr std::size_t kMaxWatchers = 4096;
+// Enough for the members of a large cluster, some of which have two requests open.
 constexpr std::size_t kMaxPendingRequests = 20000;
-constexpr Seconds kSilentAfter = 2;  // s: a planner not heard for longer is shown as silent
+// A planner that has not replied to the leader for this time is shown as silent.
+constexpr Seconds kSilentTimeout = 2;
 
 }  // namespace
 
@@ -50,7 +53,7 @@
 void Planner::finish_request(LeaseRequestId id, wire::LeaseAnswer& answer) {
     const auto found = pending_requests_.find(id);
     if (found == pending_requests_.end()) {
-        return;  // it timed out
+        return;  // the request timed out
     }
     send_answer(found->second, answer);
     pending_requests_.erase(found);
@@ -79,7 +82,8 @@
 }
 
 void Planner::holder_changed(const LeaseName& lease) {
-    // Sent from the event loop: within the call of the planner core an entry may be half applied.
+    // The notification is deferred to the event loop, because the planner core makes this call
+    // while it is still applying an entry.
     if (watchers_.empty()) {
         return;
     }
@@ -112,7 +116,7 @@
     const Seconds now = lasting_now();
     const wire::LeaseAsk& ask = message.lease_ask();
     if (pending_requests_.size() >= kMaxPendingRequests) {
-        return;  // the sender repeats it
+        return;  // the sender repeats the request
     }
     if (ask.what() == wire::LeaseAsk::WATCH) {
         return add_watcher(now, link);
@@ -125,7 +129,7 @@
     const Member member{Name{ask.member()}, lease::Incarnation{ask.life()}};
     if (!member.name.value.empty()) {
         const Name forwarded_by = ask.passed_on() ? Name{message.from().self().name()} : Name{};
-        directory_.heard_member(now, member, link, forwarded_by);
+        directory_.record_member(now, member, link, forwarded_by);
     }
     if (planner_core_ && planner_core_->is_serving()) {
         return serve_request(now, id, ask);
@@ -164,7 +168,7 @@
     finish_request(id, answer);
 }
 
-// `stale`: this planner is not the leader and may lag behind it.
+// `stale` marks the table as that of a planner that is not the leader and may lag behind it.
 void Planner::answer_with_table(LeaseRequestId id, bool stale) {
     wire::LeaseAnswer answer;
     fill_table(*answer.mutable_table());
@@ -174,7 +178,8 @@
     finish_request(id, answer);
 }
 
-// False if no other planner is known to be the leader, or the request was forwarded already.
+// Returns false if no other planner is known to be the leader, or if the request was forwarded
+// already.
 bool Planner::forward_to_leader(LeaseRequestId id, const wire::LeaseAsk& ask) {
     if (!planner_core_ || ask.passed_on()) {
         return false;
@@ -232,7 +237,7 @@
 }
 
 void Planner::serve_admit(Seconds now, LeaseRequestId id, const Name& planner) {
-    const JoiningPlanner* const joining = directory_.joining(planner);
+    const JoiningPlanner* const joining = directory_.find_joining_planner(planner);
     if (!joining) {
         return reject(id, "no planner '" + planner.value +
                               "' has announced itself: start it first, with its folder empty");
@@ -241,7 +246,7 @@
 }
 
 void Planner::serve_remove(Seconds now, LeaseRequestId id, const Name& planner) {
-    const auto& voters = planner_core_->voter_membership().wanted();
+    const auto& voters = planner_core_->voter_membership().target_voters();
     const bool is_voter = std::any_of(voters.begin(), voters.end(), [&](const auto& each) {
         return each.second.name == planner;
     });
@@ -261,7 +266,7 @@
         return;
     }
     const raft::Raft& raft = planner_core_->raft();
-    put(planner_core_->leases(), table);
+    encode(planner_core_->leases(), table);
     for (auto& lease : *table.mutable_leases()) {
         lease.set_left(planner_core_->time_left(now, LeaseName{lease.name()}));
     }
@@ -275,7 +280,7 @@
         }
         fill_voter_row(now, server, voter, *table.add_planners());
     }
-    for (const auto& [name, joining] : directory_.all_joining()) {
+    for (const auto& [name, joining] : directory_.joining_planners()) {
         if (raft.voters().contains(joining.server)) {
             continue;
         }
@@ -301,7 +306,7 @@
     row.set_heard_ago(never_heard ? -1 : since_reply);
     if (server == raft.leader()) {
         row.set_state("leads");
-    } else if (raft.is_leader() && since_reply >= kSilentAfter) {
+    } else if (raft.is_leader() && since_reply >= kSilentTimeout) {
         row.set_state("silent");
     } else {
         row.set_state(voter.votes ? "votes" : "learns");
