--- a/src/planner/planner_messages.cpp
+++ b/src/planner/planner_messages.cpp
@@ -70,6 +70,8 @@
     directory_.remove_expired(now);
 }
 
+// Records a planner that is not in the voter set. A leader admits it if its name was never admitted
+// and the configuration lists it; otherwise an operator has to admit it.
 void Planner::consider_admission(const Name& name, const std::string& address, ServerId server,
                                  Seconds now) {
     if (!planner_core_ || !planner_core_->is_serving() ||
--- a/tests/lease/lease_client_test.cpp
+++ b/tests/lease/lease_client_test.cpp
@@ -1,4 +1,4 @@
-// The side of a lease that asks for it: when it may act, and what it asks again.
+// Tests of the lease client: when the member may act, and which requests it repeats.
 #include "lease/lease_client.hpp"
 
 #include <catch2/catch.hpp>
@@ -12,7 +12,8 @@
 
 const LeaseName kTask{"task"};
 
-// Records the requests of a lease client: acquire 't', renew 'r', release 'b', stop waiting 's'.
+// Records the requests of a lease client. The first part is the kind of the request: 't' acquires,
+// 'r' renews, 'b' releases, 's' stops waiting.
 struct ClientFixture : LeaseClientHost {
     explicit ClientFixture(std::uint64_t incarnation = 1)
         : lease_client(*this, {1, 2, 3}, Incarnation{incarnation}) {}
@@ -78,7 +79,7 @@
         client.lease_client.on_over(54, client.last());
         CHECK(!client.lease_client.may_act(54, kTask));
         CHECK(client.requests.back().first == 'b');
-        // A released lease is not resumed.
+        // A released token is not used again, even if it is granted once more.
         client.lease_client.tick(56);
         client.lease_client.on_granted(56.1, client.last(), FencingToken{7}, 10);
         CHECK(!client.lease_client.may_act(56.2, kTask));
--- a/tests/lease/planner_config_test.cpp
+++ b/tests/lease/planner_config_test.cpp
@@ -1,4 +1,4 @@
-// The operator file of a planner.
+// Tests of the parser of a planner's operator file.
 #include "planner/planner_config.hpp"
 
 #include <catch2/catch.hpp>
--- a/tests/lease/raft_storage_test.cpp
+++ b/tests/lease/raft_storage_test.cpp
@@ -1,5 +1,5 @@
-// A planner's disk: stored state is read back unchanged, and damaged, truncated or foreign files
-// are never used.
+// Tests of a planner's persistent storage: stored state is read back unchanged, and files that are
+// damaged, truncated or of another planner are rejected.
 #include "planner/raft_storage.hpp"
 
 #include <rapidcheck.h>
@@ -45,7 +45,7 @@
 LogEntry record_of(std::uint64_t term, const std::string& body) {
     return {{term}, EntryKind::command, body, {}};
 }
-// A random request that Raft may make next; `model` becomes the state after it.
+// Generates a random request that Raft could make next, and updates `model` to the state after it.
 PersistRequest random_request(PersistentState& model) {
     PersistRequest request;
     const std::uint64_t last = model.snapshot.last_included_index.value + model.entries.size();
@@ -218,7 +218,7 @@
         ::close(pipe_ends[1]);
         std::uint64_t last = 0;
         std::uint64_t at = 0;
-        // Killed after so many writes; later ones may be stored or not.
+        // The child is killed after this many confirmed writes. Later writes may be stored or not.
         while (last < static_cast<std::uint64_t>(3 + 5 * round) &&
                ::read(pipe_ends[0], &at, sizeof at) == sizeof at) {
             last = at;
