--- a/src/lease/lease_manager.cpp
+++ b/src/lease/lease_manager.cpp
@@ -194,7 +194,7 @@
             host_->reply(waits.id, Answer::over, waits.token, 0, 0);
             continue;
         }
-        timer->second.until = std::max(timer->second.until, waits.received + settings_.wait());
+        timer->second.until = std::max(timer->second.until, waits.received_at + settings_.wait());
         timer->second.answered = true;
         host_->reply(waits.id, Answer::granted, waits.token, settings_.span, 0);
     }
@@ -265,7 +265,7 @@
     }
     for (const auto& [round, waits] : pending_renewals_) {
         text += fmt::format("c{}.{}.{}.{:.3f}", round.value, waits.id.value, waits.token.value,
-                            waits.received - now);
+                            waits.received_at - now);
     }
     return text;
 }
--- a/src/lease/lease_manager.hpp
+++ b/src/lease/lease_manager.hpp
@@ -110,7 +110,7 @@
         LeaseRequestId id;
         LeaseName lease;
         FencingToken token;
-        Seconds received = 0;
+        Seconds received_at = 0;
     };
     void renew(Seconds now, LeaseRequestId id, const LeaseName& lease, FencingToken token);
     void end_holding(const LeaseName& lease, HoldingTimer& timer, HoldingEnd reason, Seconds now);
--- a/src/lease/lease_state_machine.cpp
+++ b/src/lease/lease_state_machine.cpp
@@ -32,7 +32,7 @@
 }
 void LeaseStateMachine::end(FencingToken at, double unix_time, const LeaseName& name, Lease& lease,
                             HoldingEnd reason, const std::vector<Member>& absent) {
-    lease.now.to = unix_time;
+    lease.now.ended_at = unix_time;
     lease.now.end = reason;
     lease.past.push_back(lease.now);
     if (lease.past.size() > kMaxPastHoldings) {
--- a/src/lease/lease_state_machine.hpp
+++ b/src/lease/lease_state_machine.hpp
@@ -24,8 +24,8 @@
 struct Holding {
     FencingToken token;
     Member holder;
-    double from = 0;
-    double to = 0;
+    double started_at = 0;
+    double ended_at = 0;
     HoldingEnd end = HoldingEnd::held;
     bool operator==(const Holding&) const = default;
 };
--- a/src/planner/planner.cpp
+++ b/src/planner/planner.cpp
@@ -78,18 +78,18 @@
         return;
     }
     cluster_ = {raft_storage_.disk().value ^ static_cast<std::uint64_t>(net::wall_time() * 1e6)};
-    const raft::PersistentState first =
+    const raft::PersistentState initial_state =
         PlannerCore::initial_state(self(), planner_config_.name, planner_config_.address);
     try {
         raft::PersistRequest request;
-        request.vote_state = first.vote_state;
-        request.snapshot = first.snapshot;
+        request.vote_state = initial_state.vote_state;
+        request.snapshot = initial_state.snapshot;
         raft_storage_.join_cluster(cluster_, request);
     } catch (const std::exception& error) {
         fatal_error_ = error.what();
         return;
     }
-    start_core(first);
+    start_core(initial_state);
     log_.line("planner: cluster founded: cluster={:016x}", cluster_.value);
     schedule_tick();
 }
--- a/src/planner/planner_core.cpp
+++ b/src/planner/planner_core.cpp
@@ -72,7 +72,8 @@
     if (entry.kind != raft::EntryKind::command) {
         return;
     }
-    const CommandResult result = planner::apply(entry.command, at, leases_, voter_membership_);
+    const CommandResult result =
+        planner::apply_command(entry.command, at, leases_, voter_membership_);
     if (result.document_written || may_have_new_holder(leases_.find(result.lease), at)) {
         host_->holder_changed(result.lease);
     }
--- a/src/planner/raft_storage.cpp
+++ b/src/planner/raft_storage.cpp
@@ -13,7 +13,7 @@
 using storage::sum_of;
 using storage::Transaction;
 
-constexpr const char* kFile = "planner.db";
+constexpr const char* kDatabaseFile = "planner.db";
 
 // Keys of the table `kept`. Files of released versions contain them, so they must not change.
 constexpr const char* kIdentityKey = "identity";
@@ -25,18 +25,18 @@
 
 RaftStorage::RaftStorage(const std::string& folder, const raft::Name& name,
                          std::uint64_t fresh_disk, JournalMode journal_mode)
-    : database_(folder, kFile, journal_mode) {
+    : database_(folder, kDatabaseFile, journal_mode) {
     Transaction transaction(database_);
     if (database_.fresh()) {
-        create(name, fresh_disk);
+        create_database(name, fresh_disk);
         transaction.commit();
         return;
     }
     transaction.commit();
-    read(name);
+    load(name);
 }
 
-void RaftStorage::create(const raft::Name& name, std::uint64_t fresh_disk) {
+void RaftStorage::create_database(const raft::Name& name, std::uint64_t fresh_disk) {
     database_.run(
         "CREATE TABLE kept (key BLOB PRIMARY KEY, bytes BLOB NOT NULL, sum INTEGER NOT NULL)");
     database_.run(
@@ -48,7 +48,7 @@
     put_value(kIdentityKey, identity.SerializeAsString());
 }
 
-void RaftStorage::read(const raft::Name& name) {
+void RaftStorage::load(const raft::Name& name) {
     if (!database_.sound()) {
         fail_damaged("SQLite finds it malformed");
     }
@@ -157,7 +157,7 @@
     Statement(database_, sql).with(1, static_cast<std::int64_t>(index)).step();
 }
 
-void RaftStorage::join_cluster(raft::ClusterId cluster, const raft::PersistRequest& first) {
+void RaftStorage::join_cluster(raft::ClusterId cluster, const raft::PersistRequest& initial_state) {
     wire::Identity identity;
     const auto bytes = get_value(kIdentityKey);
     if (!bytes || !identity.ParseFromString(*bytes)) {
@@ -166,21 +166,21 @@
     identity.set_cluster(cluster.value);
     Transaction transaction(database_);
     put_value(kIdentityKey, identity.SerializeAsString());
-    write({first});
+    write_requests({initial_state});
     transaction.commit();
     cluster_ = cluster;
 }
 
 void RaftStorage::persist(const std::vector<raft::PersistRequest>& requests) {
     Transaction transaction(database_);
-    write(requests);
+    write_requests(requests);
     transaction.commit();
 }
 
-void RaftStorage::write(const std::vector<raft::PersistRequest>& requests) {
+void RaftStorage::write_requests(const std::vector<raft::PersistRequest>& requests) {
     std::optional<std::uint64_t> last_index;
     for (const raft::PersistRequest& request : requests) {
-        if (const auto changed = write_one(request)) {
+        if (const auto changed = write_request(request)) {
             last_index = changed;
         }
     }
@@ -190,7 +190,7 @@
 }
 
 // Returns the last index of the log if the request changes it.
-std::optional<std::uint64_t> RaftStorage::write_one(const raft::PersistRequest& request) {
+std::optional<std::uint64_t> RaftStorage::write_request(const raft::PersistRequest& request) {
     std::optional<std::uint64_t> last_index;
     if (request.vote_state) {
         wire::Promise vote_state;
--- a/src/planner/raft_storage.hpp
+++ b/src/planner/raft_storage.hpp
@@ -38,7 +38,7 @@
     // Assigns the disk to a cluster and writes the initial state in one transaction. With only one
     // of the two a planner could become leader without a cluster, or belong to a cluster without a
     // log.
-    void join_cluster(raft::ClusterId cluster, const raft::PersistRequest& first = {});
+    void join_cluster(raft::ClusterId cluster, const raft::PersistRequest& initial_state = {});
     // Writes all requests in one transaction, which is durable when this returns. Throws
     // std::runtime_error on failure; then no message that depends on the requests may be sent.
     void persist(const std::vector<raft::PersistRequest>& requests);
@@ -46,8 +46,8 @@
   private:
     using Statement = storage::SqliteDatabase::Statement;
 
-    void create(const raft::Name& name, std::uint64_t fresh_disk);
-    void read(const raft::Name& name);
+    void create_database(const raft::Name& name, std::uint64_t fresh_disk);
+    void load(const raft::Name& name);
     void read_identity(const raft::Name& name);
     void read_vote_state();
     void read_snapshot();
@@ -55,8 +55,8 @@
     std::optional<std::string> get_value(const char* key);
     void put_value(const char* key, const std::string& bytes);
     void put_entry(std::uint64_t index, const raft::LogEntry& entry);
-    void write(const std::vector<raft::PersistRequest>& requests);
-    std::optional<std::uint64_t> write_one(const raft::PersistRequest& request);
+    void write_requests(const std::vector<raft::PersistRequest>& requests);
+    std::optional<std::uint64_t> write_request(const raft::PersistRequest& request);
     void remove_entries(const char* sql, std::uint64_t index);
     [[noreturn]] void fail_damaged(const std::string& reason) const;
 
--- a/src/planner/storage_codec.cpp
+++ b/src/planner/storage_codec.cpp
@@ -27,8 +27,8 @@
 }
 void encode(const lease::Holding& holding, wire::HoldingState& to) {
     to.set_fence(holding.token.value);
-    to.set_from(holding.from);
-    to.set_to(holding.to);
+    to.set_from(holding.started_at);
+    to.set_to(holding.ended_at);
     to.set_end(static_cast<std::uint32_t>(holding.end));
     encode(holding.holder, *to.mutable_holder());
 }
@@ -155,8 +155,9 @@
     return true;
 }
 
-CommandResult apply(const std::string& bytes, raft::LogIndex at, lease::LeaseStateMachine& leases,
-                    raft::VoterMembership& voter_membership) {
+CommandResult apply_command(const std::string& bytes, raft::LogIndex at,
+                            lease::LeaseStateMachine& leases,
+                            raft::VoterMembership& voter_membership) {
     wire::Command command;
     CommandResult result;
     if (!command.ParseFromString(bytes)) {
--- a/src/planner/storage_codec.hpp
+++ b/src/planner/storage_codec.hpp
@@ -36,7 +36,8 @@
     bool document_written = false;  // the command replaced the document of the lease
 };
 // Applies the serialized command of the entry at index `at`.
-CommandResult apply(const std::string& bytes, raft::LogIndex at, lease::LeaseStateMachine& leases,
-                    raft::VoterMembership& voter_membership);
+CommandResult apply_command(const std::string& bytes, raft::LogIndex at,
+                            lease::LeaseStateMachine& leases,
+                            raft::VoterMembership& voter_membership);
 
 }  // namespace tideline::planner
