--- a/src/planner/planner.cpp
+++ b/src/planner/planner.cpp
@@ -65,7 +65,7 @@
               : cluster_.value > 0
                   ? fmt::format("cluster={:016x} last_log_index={}", cluster_.value,
                                 planner_core_->raft().last_log_index().value)
-                  : "no cluster yet: announces itself to the others");
+                  : "no cluster yet: announcing itself to the other planners");
     if (founds_cluster_) {
         loop_.timers.at(net::clock_now() + kFoundingDelay, [this] { found_cluster(); });
     }
--- a/src/planner/planner_config.cpp
+++ b/src/planner/planner_config.cpp
@@ -16,7 +16,7 @@
 
 void read_planners(Reader& read, const Setting& from, PlannerConfig& planner_config) {
     if (!from.isList()) {
-        return read.fault(from, "is to be a list of groups, ( { ... }, { ... } )");
+        return read.fault(from, "is not a list of groups; allowed: ( { ... }, { ... } )");
     }
     for (int i = 0; i < from.getLength(); ++i) {
         cluster::Name name;
@@ -25,11 +25,11 @@
         if (name.value.empty() || address.empty()) {
             read.fault(from[i], "name or address is missing");
         } else if (!planner_config.planners.emplace(name, address).second) {
-            read.fault(from[i], "another has that name");
+            read.fault(from[i], "another planner has the same name");
         }
     }
     if (from.getLength() > kMaxPlanners) {
-        read.fault(from, "more than 9 planners: each one more makes grants slower");
+        read.fault(from, "more than 9 planners: each additional planner makes grants slower");
     }
 }
 
@@ -47,12 +47,14 @@
                       {"election_most", read.number(log.election_timeout_max, 0.05, 120, " s")},
                       {"keep", read.number(planner_config.snapshot_after_entries, 10, 1000000)}});
     if (log.election_timeout_min < 3 * log.heartbeat_interval) {
-        read.fault(
-            from, "election_least is less than three heartbeats: one lost would unseat the leader");
+        read.fault(from,
+                   "election_least is less than three heartbeats: one lost heartbeat could depose "
+                   "the leader");
     }
     if (log.election_timeout_max <= log.election_timeout_min) {
         read.fault(from,
-                   "election_most is not above election_least: planners would stand all at once");
+                   "election_most is not above election_least: all planners would start elections "
+                   "at once");
     }
 }
 
@@ -74,7 +76,7 @@
         read.fault(from, "this planner's own name is not among the planners");
     }
     if (planner_config.name.value.size() > lease::kMaxNameBytes) {
-        read.fault(from, "a name of more than 100 bytes");
+        read.fault(from, "name has more than 100 bytes");
     }
 }
 
--- a/src/planner/planner_core.cpp
+++ b/src/planner/planner_core.cpp
@@ -99,7 +99,7 @@
 }
 void PlannerCore::restore(const Snapshot& snapshot) {
     if (!planner::restore(snapshot.state, leases_, voter_membership_)) {
-        host_->log_event("snapshot unreadable: nothing before it is known");
+        host_->log_event("snapshot can't be parsed: the leases and voters in it are not restored");
     }
 }
 
--- a/src/planner/raft_storage.cpp
+++ b/src/planner/raft_storage.cpp
@@ -79,7 +79,7 @@
     }
     wire::Promise vote_state;
     if (!vote_state.ParseFromString(*bytes)) {
-        fail_damaged("its promise can't be read");
+        fail_damaged("its vote state can't be parsed");
     }
     state_.vote_state = {{vote_state.reign()}, {vote_state.voted()}};
 }
@@ -91,7 +91,7 @@
     }
     wire::Snapshot snapshot;
     if (!snapshot.ParseFromString(*bytes)) {
-        fail_damaged("its snapshot can't be read");
+        fail_damaged("its snapshot can't be parsed");
     }
     state_.snapshot = decode_snapshot(snapshot);
 }
@@ -104,12 +104,12 @@
     for (std::uint64_t next = snapshot_index + 1; rows.step(); ++next) {
         const auto index = static_cast<std::uint64_t>(rows.number(0));
         if (index != next) {
-            fail_damaged(fmt::format("record {} is missing", next));
+            fail_damaged(fmt::format("log entry {} is missing", next));
         }
         const std::string bytes = rows.bytes(1);
         wire::LogRecord entry;
         if (sum_of(bytes, index) != rows.number(2) || !entry.ParseFromString(bytes)) {
-            fail_damaged(fmt::format("record {} was altered", index));
+            fail_damaged(fmt::format("log entry {} was altered", index));
         }
         state_.entries.push_back(decode_entry(entry));
     }
@@ -117,7 +117,7 @@
     // that the table no longer refers to.
     const auto last_index = get_value(kLastIndexKey);
     if (last_index && *last_index != std::to_string(snapshot_index + state_.entries.size())) {
-        fail_damaged("its log ends before what was stored");
+        fail_damaged("its log ends before the last stored entry");
     }
 }
 
--- a/src/storage/sqlite_database.cpp
+++ b/src/storage/sqlite_database.cpp
@@ -22,7 +22,7 @@
     std::error_code error;
     std::filesystem::create_directories(folder, error);
     if (!std::filesystem::is_directory(folder)) {
-        throw std::runtime_error("no folder: " + folder);
+        throw std::runtime_error("not a directory, and can't be created: " + folder);
     }
     fresh_ = !std::filesystem::exists(path_);
     sqlite3* db = nullptr;
