--- a/src/lease/lease_state_machine.hpp
+++ b/src/lease/lease_state_machine.hpp
@@ -30,10 +30,10 @@
     bool operator==(const Holding&) const = default;
 };
 struct Lease {
-    Holding now;             // the current holding; its token is 0 if nobody holds the lease
-    bool withdrawn = false;  // an operator has revoked the lease, so it is not renewed any more
-    std::deque<Member> waiting;
-    std::deque<Holding> past;
+    Holding now;                 // the current holding; its token is 0 if nobody holds the lease
+    bool withdrawn = false;      // an operator has revoked the lease, so it is not renewed any more
+    std::deque<Member> waiting;  // the queue; the first member gets the lease next
+    std::deque<Holding> past;    // the most recent past holdings, oldest first
     bool operator==(const Lease&) const = default;
 };
 // An alarm that the holder of a lease has raised for the whole cluster.
@@ -102,6 +102,7 @@
     std::string fingerprint() const;
 
   private:
+    // Ends the present holding and grants the lease to the first waiter that is not `absent`.
     void end(FencingToken at, double unix_time, const LeaseName& name, Lease& lease,
              HoldingEnd reason, const std::vector<Member>& absent);
     std::map<LeaseName, Lease> leases_;
--- a/src/lease/types.hpp
+++ b/src/lease/types.hpp
@@ -40,6 +40,12 @@
     refused
 };
 // Why a holding ended. The numeric values are part of the wire protocol and of snapshots.
-enum class HoldingEnd { held, released, expired, unclaimed, revoked };
+enum class HoldingEnd {
+    held,       // the holding has not ended
+    released,   // the holder released the lease
+    expired,    // the lease was not renewed in time
+    unclaimed,  // the waiter that was granted the lease did not request it in time
+    revoked     // an operator revoked the lease
+};
 
 }  // namespace tideline::lease
