--- a/src/planner/planner.cpp
+++ b/src/planner/planner.cpp
@@ -65,7 +65,7 @@
               : cluster_.value > 0
                   ? fmt::format("cluster={:016x} last_log_index={}", cluster_.value,
                                 planner_core_->raft().last_log_index().value)
-                  : "no cluster yet: announces itself to the others");
+                  : "no cluster yet: announcing itself to the other planners");
     if (founds_cluster_) {
         loop_.timers.at(net::clock_now() + kFoundingDelay, [this] { found_cluster(); });
     }
@@ -78,18 +78,18 @@
         return;
     }
     cluster_ = {raft_storage_.disk().value ^ static_cast<std::uint64_t>(net::wall_time() * 1e6)};
-    const raft::PersistentState first =
+    const raft::PersistentState initial_state =
         PlannerCore::initial_state(self(), planner_config_.name, planner_config_.address);
     try {
         raft::PersistRequest request;
-        request.vote_state = first.vote_state;
-        request.snapshot = first.snapshot;
+        request.vote_state = initial_state.vote_state;
+        request.snapshot = initial_state.snapshot;
         raft_storage_.join_cluster(cluster_, request);
     } catch (const std::exception& error) {
         fatal_error_ = error.what();
         return;
     }
-    start_core(first);
+    start_core(initial_state);
     log_.line("planner: cluster founded: cluster={:016x}", cluster_.value);
     schedule_tick();
 }
--- a/src/planner/planner_core.cpp
+++ b/src/planner/planner_core.cpp
@@ -72,7 +72,8 @@
     if (entry.kind != raft::EntryKind::command) {
         return;
     }
-    const CommandResult result = planner::apply(entry.command, at, leases_, voter_membership_);
+    const CommandResult result =
+        planner::apply_command(entry.command, at, leases_, voter_membership_);
     if (result.document_written || may_have_new_holder(leases_.find(result.lease), at)) {
         host_->holder_changed(result.lease);
     }
@@ -98,7 +99,7 @@
 }
 void PlannerCore::restore(const Snapshot& snapshot) {
     if (!planner::restore(snapshot.state, leases_, voter_membership_)) {
-        host_->log_event("snapshot unreadable: nothing before it is known");
+        host_->log_event("snapshot can't be parsed: the leases and voters in it are not restored");
     }
 }
 
