--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -7,13 +7,13 @@
 namespace tideline {
 namespace {
 
-constexpr double kLongestWaitSloShare = 0.35;  // of the SLO time, for a first attempt
+constexpr double kMaxWaitSloShare = 0.35;  // of the SLO time, for a first attempt
 constexpr Seconds kDeadlineMargin = 2 * kTickInterval;
 constexpr double kQuotaTolerance = 1.25;  // multiple of a tenant's share, and requests beyond it
 constexpr Seconds kQuotaWindow = 5;
 constexpr Seconds kServiceRateWindow = 3;
-constexpr double kLeastRetryAfter = 0.5;  // share of the longest advice; scattered from here up
-constexpr Seconds kLeastWork = 1e-6;      // keeps the quotient finite
+constexpr double kMinRetryAfterShare = 0.5;  // share of the longest advice; scattered from here up
+constexpr Seconds kMinWork = 1e-6;           // keeps the quotient finite
 
 }  // namespace
 
@@ -40,8 +40,8 @@
     if (shedder_.sheds(random_)) {
         return AdmissionDecision::rejected(RejectionReason::shed);
     }
-    const bool pressed = shedder_.active() || !requests.queue_empty();
-    if (request.attempts.empty() && pressed && over_quota(now, request.tenant)) {
+    const bool under_pressure = shedder_.is_active() || !requests.queue_empty();
+    if (request.attempts.empty() && under_pressure && over_quota(now, request.tenant)) {
         return AdmissionDecision::rejected(RejectionReason::over_quota);
     }
     return AdmissionDecision::admitted();
@@ -68,7 +68,7 @@
 Seconds Admission::latest_useful_send(const Request& request) const {
     const Seconds slo_time = settings_.of(request.request_class).slo_time;
     const Seconds longest_wait = request.attempts.empty()
-                                     ? kLongestWaitSloShare * slo_time
+                                     ? kMaxWaitSloShare * slo_time
                                      : slo_time - response_times_.median(request.request_class);
     return std::min(request.received_at + std::max(0.0, longest_wait),
                     request.deadline - kDeadlineMargin);
@@ -79,11 +79,11 @@
     if (settings_.valued_by_work) {
         return billed;
     }
-    return billed / std::max(kLeastWork, response_times_.shortest(request.request_class));
+    return billed / std::max(kMinWork, response_times_.shortest(request.request_class));
 }
 
 Seconds Admission::retry_after() {
-    return random_.uniform(kLeastRetryAfter, 1) * settings_.max_retry_after;
+    return random_.uniform(kMinRetryAfterShare, 1) * settings_.max_retry_after;
 }
 
 bool Admission::over_quota(Seconds now, TenantId tenant) const {
--- a/src/policy/ballots.cpp
+++ b/src/policy/ballots.cpp
@@ -3,19 +3,19 @@
 namespace tideline {
 namespace {
 
-constexpr Seconds kLongestHold = 2;  // in each stage
+constexpr Seconds kMaxHoldDuration = 2;  // in each stage
 // Share of a vote's lifetime after which it is renewed: scattered, with time for a second try.
-constexpr double kRenewFrom = 0.72;
-constexpr double kRenewTo = 0.9;
+constexpr double kMinRenewFraction = 0.72;
+constexpr double kMaxRenewFraction = 0.9;
 constexpr Seconds kRetryDelay = 0.3;  // after a vote that failed
 // Factors of the retry delay between which it is scattered.
-constexpr double kRetryJitterFrom = 0.5;
-constexpr double kRetryJitterTo = 1.5;
+constexpr double kMinRetryJitterFactor = 0.5;
+constexpr double kMaxRetryJitterFactor = 1.5;
 
 }  // namespace
 
-std::optional<Ballot> Ballots::next(Seconds now) {
-    if (!release_.judged()) {
+std::optional<Ballot> Ballots::next_ballot(Seconds now) {
+    if (!release_.is_judged()) {
         return std::nullopt;
     }
     if (in_flight_ && now - sent_at_ > settings_.vote_timeout + kRetryDelay) {
@@ -25,43 +25,43 @@
     if (in_flight_) {
         return std::nullopt;
     }
-    const Vote vote = wanted(now);
-    if (!due(now, vote)) {
+    const Vote vote = wanted_vote(now);
+    if (!is_due(now, vote)) {
         return std::nullopt;
     }
     const ReleaseStatus& status = *release_.status();
-    const bool newly_back =
+    const bool is_first_back_vote =
         vote == Vote::back && (vote != sent_.vote || sent_.build != status.build);
-    sent_ = {status.build, status.stage, vote, newly_back};
+    sent_ = {status.build, status.stage, vote, is_first_back_vote};
     in_flight_ = true;
     sent_at_ = now;
     return sent_;
 }
 
 // Without a judged release, or once the participation is restricted, no vote moves it on.
-Vote Ballots::wanted(Seconds now) const {
-    if (judge_.marked()) {
+Vote Ballots::wanted_vote(Seconds now) const {
+    if (judge_.has_marks()) {
         return Vote::back;
     }
     const ReleaseStatus& status = *release_.status();
     if (status.phase == Phase::released || release_.participation() != TrialParticipation::open) {
         return Vote::none;
     }
-    const Seconds age = now - status.began;
+    const Seconds age = now - status.stage_started_at;
     if (settings_.advanced_by == StageAdvance::clock) {
-        return judge_.suspicious() && age < kLongestHold ? Vote::hold : Vote::none;
+        return judge_.is_suspicious() && age < kMaxHoldDuration ? Vote::hold : Vote::none;
     }
-    if (age < settings_.least_stage_time) {
+    if (age < settings_.min_stage_time) {
         return Vote::none;
     }
-    if (judge_.suspicious() && age < settings_.least_stage_time + kLongestHold) {
+    if (judge_.is_suspicious() && age < settings_.min_stage_time + kMaxHoldDuration) {
         return Vote::none;
     }
     return Vote::on;
 }
 
 // A vote goes out when it differs from the counted one, and again when that is due for renewal.
-bool Ballots::due(Seconds now, Vote vote) const {
+bool Ballots::is_due(Seconds now, Vote vote) const {
     const ReleaseStatus& status = *release_.status();
     const bool same_build = sent_.build == status.build;
     const bool same_stage = sent_.stage == status.stage;
@@ -70,22 +70,23 @@
     }
     const bool already_counted =
         vote == counted_ && same_build && (vote == Vote::back || same_stage);
-    const bool repeats = already_counted || sent_.vote == vote;
-    return now >= due_at_ || !repeats;
+    const bool is_repeat = already_counted || sent_.vote == vote;
+    return now >= due_at_ || !is_repeat;
 }
 
 // A vote that was not counted has no effect, so it is sent again soon.
-void Ballots::answered(Seconds now, VoteReply reply) {
+void Ballots::vote_answered(Seconds now, VoteReply reply) {
     if (!in_flight_) {
         return;
     }
     in_flight_ = false;
     if (reply == VoteReply::counted) {
         counted_ = sent_.vote;
-        due_at_ = now + settings_.vote_lifetime * random_.uniform(kRenewFrom, kRenewTo);
+        due_at_ =
+            now + settings_.vote_lifetime * random_.uniform(kMinRenewFraction, kMaxRenewFraction);
     } else {
         counted_ = Vote::none;
-        due_at_ = now + kRetryDelay * random_.uniform(kRetryJitterFrom, kRetryJitterTo);
+        due_at_ = now + kRetryDelay * random_.uniform(kMinRetryJitterFactor, kMaxRetryJitterFactor);
     }
 }
 
--- a/src/policy/ballots.hpp
+++ b/src/policy/ballots.hpp
@@ -15,7 +15,7 @@
     Build build;
     Stage stage;
     Vote vote = Vote::none;
-    bool newly_back = false;  // the first vote of this sidecar to withdraw the build
+    bool is_first_back_vote = false;  // the first vote of this sidecar to withdraw the build
 };
 
 class Ballots {
@@ -25,12 +25,12 @@
         : settings_(settings), release_(release), judge_(judge), random_(random) {}
 
     // The vote to send now, if any. At most one is in flight.
-    std::optional<Ballot> next(Seconds now);
-    void answered(Seconds now, VoteReply reply);
+    std::optional<Ballot> next_ballot(Seconds now);
+    void vote_answered(Seconds now, VoteReply reply);
 
   private:
-    Vote wanted(Seconds now) const;
-    bool due(Seconds now, Vote vote) const;
+    Vote wanted_vote(Seconds now) const;
+    bool is_due(Seconds now, Vote vote) const;
 
     const ReleaseSettings& settings_;
     const ReleaseState& release_;
--- a/src/policy/concurrency_limit.hpp
+++ b/src/policy/concurrency_limit.hpp
@@ -11,17 +11,17 @@
   public:
     ConcurrencyLimit();
 
-    void answered(double relative_time, int in_flight);
+    void attempt_answered(double relative_time, int in_flight);
 
     double limit() const {
         return limit_;
     }
     // Answers in the newest run, and their mean relative response time.
     std::size_t recent_answers() const {
-        return times_.fresh();
+        return times_.recent_count();
     }
     double recent_time() const {
-        return times_.present();
+        return times_.recent_mean();
     }
 
   private:
--- a/src/policy/discovery_backoff.hpp
+++ b/src/policy/discovery_backoff.hpp
@@ -11,29 +11,29 @@
   public:
     // Bounds between which the wait is to be drawn, evenly distributed.
     struct Wait {
-        Seconds least = 0;
-        Seconds most = 0;
+        Seconds min = 0;
+        Seconds max = 0;
     };
     // `sidecars`: how many use the discovery service, this one included.
     explicit DiscoveryBackoff(double sidecars) : sidecars_(sidecars) {}
 
     // Before the first call of a process.
-    Wait started() const;
-    void answered();
+    Wait process_started() const;
+    void call_answered();
     // `watched`: a watch has worked since the start. The first loss after that is as a rule this
     // sidecar's alone.
-    Wait failed(WatchLoss loss, bool watched);
+    Wait call_failed(WatchLoss loss, bool watched);
 
   private:
-    double others() const {
+    double other_sidecars() const {
         return sidecars_ - 1;
     }
-    Wait refused(bool watched);
-    Wait unreachable();
+    Wait wait_after_refusal(bool watched);
+    Wait wait_after_unreachable();
 
     const double sidecars_;
-    int refused_ = 0;      // calls in a row that reached the service, or may have
-    int unreachable_ = 0;  // calls in a row that did not
+    int refused_calls_ = 0;      // calls in a row that reached the service, or may have
+    int unreachable_calls_ = 0;  // calls in a row that did not
 };
 
 }  // namespace tideline
--- a/src/policy/endpoint.hpp
+++ b/src/policy/endpoint.hpp
@@ -17,8 +17,8 @@
     ConcurrencyLimit concurrency;
     SlowStartUsage slow_start;
 
-    bool has_free_attempt() const {
-        return in_flight < (health.single_attempt() ? 1 : concurrency.limit());
+    bool has_capacity() const {
+        return in_flight < (health.allows_single_attempt_only() ? 1 : concurrency.limit());
     }
     void attempt_ended() {
         in_flight = std::max(0, in_flight - 1);
--- a/src/policy/endpoint_discovery.cpp
+++ b/src/policy/endpoint_discovery.cpp
@@ -4,27 +4,27 @@
 
 namespace tideline {
 
-void EndpointDiscovery::started(Seconds now) {
-    const DiscoveryBackoff::Wait wait = backoff_.started();
-    watch_at_ = wait.most > 0 ? now + random_.uniform(wait.least, wait.most) : now;
+void EndpointDiscovery::process_started(Seconds now) {
+    const DiscoveryBackoff::Wait wait = backoff_.process_started();
+    watch_at_ = wait.max > 0 ? now + random_.uniform(wait.min, wait.max) : now;
 }
 
 void EndpointDiscovery::list_read(EndpointListKind kind) {
     if (kind != EndpointListKind::cached) {
-        backoff_.answered();
+        backoff_.call_answered();
     }
 }
 
 void EndpointDiscovery::confirmed(Seconds as_of) {
     freshness_.confirmed(as_of);
-    backoff_.answered();
+    backoff_.call_answered();
 }
 
 void EndpointDiscovery::watch_lost(Seconds now, Seconds since, WatchLoss loss) {
-    freshness_.lost(since, loss);
+    freshness_.watch_lost(since, loss);
     const bool watched = freshness_.confirmed_at().has_value();
-    const DiscoveryBackoff::Wait wait = backoff_.failed(loss, watched);
-    watch_at_ = now + random_.uniform(wait.least, wait.most);
+    const DiscoveryBackoff::Wait wait = backoff_.call_failed(loss, watched);
+    watch_at_ = now + random_.uniform(wait.min, wait.max);
 }
 
 bool EndpointDiscovery::take_watch_due(Seconds now) {
--- a/src/policy/endpoint_discovery.hpp
+++ b/src/policy/endpoint_discovery.hpp
@@ -17,16 +17,16 @@
         : freshness_(settings.list_bounds), backoff_(settings.sidecars), random_(random) {}
 
     // At the start of a process that has to open the watch itself.
-    void started(Seconds now);
+    void process_started(Seconds now);
     // A list, or a change of it, was read. A list may hold what can't be read, or come from a
     // discovery service that was left, so it confirms nothing by itself: confirmed() does.
     void list_read(EndpointListKind kind);
     void confirmed(Seconds as_of);
-    void unreadable(Seconds since) {
-        freshness_.unread(since);
+    void change_unreadable(Seconds since) {
+        freshness_.change_unreadable(since);
     }
-    void moved(Seconds since) {
-        freshness_.moved(since);
+    void service_moved(Seconds since) {
+        freshness_.service_moved(since);
     }
     // Without a watch this sidecar counts as notified of changes that it never saw, so the watch
     // is opened again. The list is not fetched beside it: the watch starts with what was missed,
--- a/src/policy/endpoint_list_freshness.cpp
+++ b/src/policy/endpoint_list_freshness.cpp
@@ -7,23 +7,23 @@
 
 // A process may be delayed for 0.15 s between reading the clock and writing to an endpoint; the
 // rest is for the network.
-constexpr Seconds kSendDelay = 0.2;
+constexpr Seconds kMaxSendDelay = 0.2;
 // A discovery service with many watches may send a change this much later than a heartbeat that it
 // wrote before.
-constexpr Seconds kNotificationLag = 0.4;
+constexpr Seconds kMaxNotificationLag = 0.4;
 
 }  // namespace
 
 void EndpointListFreshness::confirmed(Seconds as_of) {
     confirmed_at_ = std::max(confirmed_at_.value_or(as_of), as_of);
-    unread_at_.reset();
+    unreadable_at_.reset();
     moved_at_.reset();
     pushed_lost_at_.reset();
 }
 
-void EndpointListFreshness::lost(Seconds since, WatchLoss loss) {
+void EndpointListFreshness::watch_lost(Seconds since, WatchLoss loss) {
     if (loss == WatchLoss::unreadable) {
-        unread(since);
+        change_unreadable(since);
     }
     // A silent watch does not mean that there is a change to be notified.
     if (bounds_.pushed && loss != WatchLoss::silent && !pushed_lost_at_) {
@@ -31,13 +31,13 @@
     }
 }
 
-void EndpointListFreshness::unread(Seconds since) {
-    if (!unread_at_) {
-        unread_at_ = since;
+void EndpointListFreshness::change_unreadable(Seconds since) {
+    if (!unreadable_at_) {
+        unreadable_at_ = since;
     }
 }
 
-void EndpointListFreshness::moved(Seconds since) {
+void EndpointListFreshness::service_moved(Seconds since) {
     if (!moved_at_) {
         moved_at_ = since;
     }
@@ -52,17 +52,17 @@
     if (!confirmed_at_) {
         return -kUnbounded;
     }
-    Seconds notified = *confirmed_at_ - kNotificationLag + bounds_.notified_within;
+    Seconds notified = *confirmed_at_ - kMaxNotificationLag + bounds_.notified_within;
     if (moved_at_) {
         notified = std::min(notified, *moved_at_ + bounds_.notified_after_move);
     }
-    if (unread_at_) {
-        notified = std::min(notified, *unread_at_);
+    if (unreadable_at_) {
+        notified = std::min(notified, *unreadable_at_);
     }
     if (pushed_lost_at_) {
         notified = std::min(notified, *pushed_lost_at_);
     }
-    return notified + bounds_.drain_grace - kSendDelay;
+    return notified + bounds_.drain_grace - kMaxSendDelay;
 }
 
 }  // namespace tideline
--- a/src/policy/endpoint_list_freshness.hpp
+++ b/src/policy/endpoint_list_freshness.hpp
@@ -31,11 +31,11 @@
     void confirmed(Seconds as_of);
     // For these `since` is the earliest time at which the event may have arrived: the process may
     // have been paused before it read it.
-    void lost(Seconds since, WatchLoss loss);
+    void watch_lost(Seconds since, WatchLoss loss);
     // A change has arrived in part, or can't be read.
-    void unread(Seconds since);
+    void change_unreadable(Seconds since);
     // The list is watched at another address from now on; only that watch confirms it.
-    void moved(Seconds since);
+    void service_moved(Seconds since);
 
     // When the list was last confirmed; empty while only the cached one is known.
     std::optional<Seconds> confirmed_at() const {
@@ -50,7 +50,7 @@
   private:
     const Bounds bounds_;
     std::optional<Seconds> confirmed_at_;
-    std::optional<Seconds> unread_at_;
+    std::optional<Seconds> unreadable_at_;
     std::optional<Seconds> moved_at_;
     std::optional<Seconds> pushed_lost_at_;
 };
--- a/src/policy/endpoint_set.cpp
+++ b/src/policy/endpoint_set.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 // A removed endpoint is forgotten so long after its last answer; ids of a long day never end.
-constexpr Seconds kForgottenAfter = 10;
+constexpr Seconds kRemovedEndpointRetention = 10;
 
 }  // namespace
 
@@ -30,9 +30,9 @@
     std::erase_if(endpoints_, [now](const auto& entry) {
         const Endpoint& endpoint = entry.second;
         return endpoint.info.state == EndpointState::removed && endpoint.in_flight == 0 &&
-               now > endpoint.health.last_answer() + kForgottenAfter;
+               now > endpoint.health.last_answer_time() + kRemovedEndpointRetention;
     });
-    most_ready_ = std::max(most_ready_, count_ready());
+    max_ready_count_ = std::max(max_ready_count_, count_ready());
 }
 
 Endpoint* EndpointSet::find(const EndpointId& id) {
--- a/src/policy/endpoint_set.hpp
+++ b/src/policy/endpoint_set.hpp
@@ -25,8 +25,8 @@
     Seconds started_at(const EndpointId& id) const;
     bool lists_older_build_than(Build build) const;
     // The most endpoints ever listed as ready at once.
-    std::size_t most_ready() const {
-        return most_ready_;
+    std::size_t max_ready_count() const {
+        return max_ready_count_;
     }
 
     // In the order of the ids.
@@ -47,7 +47,7 @@
     std::size_t count_ready() const;
 
     std::map<EndpointId, Endpoint> endpoints_;
-    std::size_t most_ready_ = 1;
+    std::size_t max_ready_count_ = 1;
 };
 
 }  // namespace tideline
--- a/src/policy/exposure_cap.cpp
+++ b/src/policy/exposure_cap.cpp
@@ -7,23 +7,24 @@
 
 // Of the cap's share, the part by which the allowance may exceed it. The allowances of hundreds of
 // sidecars add up to far more than the few endpoints on trial can serve.
-constexpr double kAllowanceFraction = 0.2;
+constexpr double kMaxAllowanceFraction = 0.2;
 
 }  // namespace
 
 void ExposureCap::request_received(Seconds now, RequestClass request_class) {
-    received_[counted_as(request_class)].add(now, settings_.release.exposure_window);
+    received_[counting_class(request_class)].add(now, settings_.release.exposure_window);
 }
 
 void ExposureCap::attempt_sent(Seconds now, RequestClass request_class, Build build) {
-    if (on_trial(build)) {
-        exposed_[{build, counted_as(request_class)}].add(now, settings_.release.exposure_window);
+    if (is_on_trial(build)) {
+        exposed_[{build, counting_class(request_class)}].add(now,
+                                                             settings_.release.exposure_window);
     }
 }
 
 void ExposureCap::request_answered(const Request& request, Build build) {
     if (settings_.release.one_way_keys && request.key &&
-        (on_trial(build) || release_.announced(build))) {
+        (is_on_trial(build) || release_.is_announced(build))) {
         answered_by_[*request.key] = build;
     }
 }
@@ -39,7 +40,7 @@
     if (key_answered_by_newer(request, build)) {
         return ExposureDecision::one_way_key;
     }
-    if (!on_trial(build)) {
+    if (!is_on_trial(build)) {
         return ExposureDecision::allowed;
     }
     const double cap = cap_of(build);
@@ -51,22 +52,22 @@
         effect != Effect::idempotent) {
         return ExposureDecision::guarded_stage;
     }
-    const bool below = below_cap(now, counted_as(request.request_class), build, cap);
-    return below ? ExposureDecision::allowed : ExposureDecision::cap_reached;
+    const bool is_below = is_below_cap(now, counting_class(request.request_class), build, cap);
+    return is_below ? ExposureDecision::allowed : ExposureDecision::cap_reached;
 }
 
 // A restart forgets what was sent before, so the allowance is not used for one window after it.
-bool ExposureCap::below_cap(Seconds now, RequestClass counted, Build build, double cap) {
+bool ExposureCap::is_below_cap(Seconds now, RequestClass counted, Build build, double cap) {
     const Seconds window = settings_.release.exposure_window;
     const Seconds counted_from = std::max(now - window, release_.exposure_counted_from());
     const double share = cap * received_[counted].after(counted_from);
     const double sent = exposed_[{build, counted}].since(now - window);
     const double allowance = now - started_at_ > window ? settings_.release.allowance : 0;
     const double rounding = rounding_[counted].value(now, window, random_);
-    return sent + 1 <= share + std::min(allowance, rounding + kAllowanceFraction * share);
+    return sent + 1 <= share + std::min(allowance, rounding + kMaxAllowanceFraction * share);
 }
 
-bool ExposureCap::on_trial(Build build) const {
+bool ExposureCap::is_on_trial(Build build) const {
     if (const auto& status = release_.status()) {
         return build > status->build ||
                (build == status->build && status->phase != Phase::released);
@@ -74,12 +75,12 @@
     return endpoints_.lists_older_build_than(build);
 }
 
-bool ExposureCap::closed(Build build) const {
-    return on_trial(build) && cap_of(build) <= 0;
+bool ExposureCap::is_closed(Build build) const {
+    return is_on_trial(build) && cap_of(build) <= 0;
 }
 
 bool ExposureCap::recalls(Build build, Seconds sent) const {
-    return on_trial(build) &&
+    return is_on_trial(build) &&
            (cap_of(build) <= 0 || release_.exposure_counted_from() > sent + settings_.drain_grace);
 }
 
@@ -87,7 +88,7 @@
     return release_.cap_of(build, settings_.release.first_cap);
 }
 
-RequestClass ExposureCap::counted_as(RequestClass request_class) const {
+RequestClass ExposureCap::counting_class(RequestClass request_class) const {
     return settings_.release.cap_per_request_class ? request_class : RequestClass{0};
 }
 
--- a/src/policy/exposure_cap.hpp
+++ b/src/policy/exposure_cap.hpp
@@ -38,8 +38,8 @@
 
     ExposureDecision decide(Seconds now, const Request& request, Build build);
     // Without a release status all builds but the oldest listed count as on trial.
-    bool on_trial(Build build) const;
-    bool closed(Build build) const;
+    bool is_on_trial(Build build) const;
+    bool is_closed(Build build) const;
     // Whether an attempt sent at `sent` may not start any more, as the cap fell since.
     bool recalls(Build build, Seconds sent) const;
 
@@ -52,9 +52,9 @@
 
     double cap_of(Build build) const;
     // Where the cap holds for all request classes together they are counted as one.
-    RequestClass counted_as(RequestClass request_class) const;
+    RequestClass counting_class(RequestClass request_class) const;
     bool key_answered_by_newer(const Request& request, Build build) const;
-    bool below_cap(Seconds now, RequestClass counted, Build build, double cap);
+    bool is_below_cap(Seconds now, RequestClass counted, Build build, double cap);
 
     const PolicySettings& settings_;
     const EndpointSet& endpoints_;
--- a/src/policy/load_balancer.cpp
+++ b/src/policy/load_balancer.cpp
@@ -6,13 +6,13 @@
 namespace tideline {
 namespace {
 
-constexpr Seconds kAnswersFade = 10;  // older answers tell nothing of an endpoint
+constexpr Seconds kAnswerLifetime = 10;  // older answers tell nothing of an endpoint
 // What all endpoints take counts as so many answers of each one.
-constexpr double kCommonAnswers = 3;
+constexpr double kPriorAnswerCount = 3;
 constexpr double kCrossLocationFactor = 1.3;  // of the cost, where crossing has a price
-constexpr double kLeastTime = 0.2;            // relative response time
-constexpr double kLeastWeight = 1e-3;
-constexpr double kLeastDraw = 1e-9;  // keeps the logarithm finite
+constexpr double kMinRelativeTime = 0.2;      // relative response time
+constexpr double kMinWeight = 1e-3;
+constexpr double kMinDraw = 1e-9;  // keeps the logarithm finite
 
 }  // namespace
 
@@ -23,67 +23,71 @@
 Endpoint* LoadBalancer::pick(Seconds now, const Request& request) {
     Selection selection{now, request, {}, std::nullopt};
     Endpoint* best = nullptr;
-    Price lowest;
-    for (auto& [id, endpoint] : in_.endpoints) {
-        if (endpoint.health.ejected(now) || !endpoint.has_free_attempt() ||
-            !allowed(selection, endpoint)) {
+    CandidateRank best_rank;
+    for (auto& [id, endpoint] : inputs_.endpoints) {
+        if (endpoint.health.is_ejected(now) || !endpoint.has_capacity() ||
+            !is_allowed(selection, endpoint)) {
             continue;
         }
-        const Preference rank = preference(selection, endpoint);
-        const double elsewhere = -std::log(in_.random.uniform(kLeastDraw, 1));
-        const Price price{rank, cost(now, endpoint, elsewhere)};
-        if (!best || price < lowest) {
+        const Preference preference_level = preference(selection, endpoint);
+        const double in_flight_elsewhere = -std::log(inputs_.random.uniform(kMinDraw, 1));
+        const CandidateRank candidate_rank{preference_level,
+                                           cost(now, endpoint, in_flight_elsewhere)};
+        if (!best || candidate_rank < best_rank) {
             best = &endpoint;
-            lowest = price;
+            best_rank = candidate_rank;
         }
     }
     return best;
 }
 
-bool LoadBalancer::allowed(Selection& selection, Endpoint& endpoint) {
-    if (!known_ready(selection.now, endpoint) ||
-        !in_.retry_policy.may_repeat_at(selection.now, selection.request, endpoint.info)) {
+bool LoadBalancer::is_allowed(Selection& selection, Endpoint& endpoint) {
+    if (!is_known_ready(selection.now, endpoint) ||
+        !inputs_.retry_policy.may_repeat_at(selection.now, selection.request, endpoint.info)) {
         return false;
     }
-    if (!build_allowed(selection, endpoint.info.build)) {
+    if (!is_build_allowed(selection, endpoint.info.build)) {
         return false;
     }
-    if (!in_.slow_start.warming_up(endpoint.info, selection.now)) {
+    if (!inputs_.slow_start.is_warming_up(endpoint.info, selection.now)) {
         return true;
     }
-    return in_.slow_start.within_quota(endpoint.slow_start, selection.now) &&
-           in_.slow_start.within_own_limit(endpoint.slow_start, endpoint.info,
-                                           even_share(selection), selection.now, in_.random);
+    return inputs_.slow_start.within_grant(endpoint.slow_start, selection.now) &&
+           inputs_.slow_start.within_own_limit(endpoint.slow_start, endpoint.info,
+                                               even_share(selection), selection.now,
+                                               inputs_.random);
 }
 
-bool LoadBalancer::build_allowed(Selection& selection, Build build) {
+bool LoadBalancer::is_build_allowed(Selection& selection, Build build) {
     const auto known = selection.builds_allowed.find(build);
     if (known != selection.builds_allowed.end()) {
         return known->second;
     }
-    const bool allowed =
-        in_.exposure.decide(selection.now, selection.request, build) == ExposureDecision::allowed;
+    const bool allowed = inputs_.exposure.decide(selection.now, selection.request, build) ==
+                         ExposureDecision::allowed;
     selection.builds_allowed.emplace(build, allowed);
     return allowed;
 }
 
 double LoadBalancer::even_share(Selection& selection) const {
     if (!selection.even_share) {
-        selection.even_share = in_.slow_start.even_share(selection.now, in_.endpoints.most_ready());
+        selection.even_share =
+            inputs_.slow_start.even_share(selection.now, inputs_.endpoints.max_ready_count());
     }
     return *selection.even_share;
 }
 
 LoadBalancer::Preference LoadBalancer::preference(Selection& selection, Endpoint& endpoint) {
-    const bool trial = in_.exposure.on_trial(endpoint.info.build);
-    const bool limited = trial || in_.slow_start.warming_up(endpoint.info, selection.now);
-    const bool beyond = limited && !in_.slow_start.within_initial_load(
-                                       endpoint.slow_start, endpoint.info, even_share(selection),
-                                       selection.now, in_.random);
+    const bool trial = inputs_.exposure.is_on_trial(endpoint.info.build);
+    const bool is_limited = trial || inputs_.slow_start.is_warming_up(endpoint.info, selection.now);
+    const bool over_initial_load =
+        is_limited && !inputs_.slow_start.within_initial_load(endpoint.slow_start, endpoint.info,
+                                                              even_share(selection), selection.now,
+                                                              inputs_.random);
     if (selection.request.was_sent_to(endpoint.info.id)) {
         return Preference::attempted_before;
     }
-    if (beyond) {
+    if (over_initial_load) {
         return Preference::beyond_initial_load;
     }
     return trial && selection.request.attempts.empty() ? Preference::trial : Preference::normal;
@@ -94,43 +98,45 @@
 // the same endpoint but spread by what the endpoints can do.
 double LoadBalancer::cost(Seconds now, const Endpoint& endpoint, double in_flight_elsewhere) const {
     const EndpointInfo& info = endpoint.info;
-    const bool crosses =
-        info.location != in_.settings.location && in_.settings.cross_location_costs;
-    const double distance = crosses ? kCrossLocationFactor : 1;
-    const double time = std::max(kLeastTime, expected_time(now, endpoint));
+    const bool is_remote =
+        info.location != inputs_.settings.location && inputs_.settings.cross_location_costs;
+    const double location_factor = is_remote ? kCrossLocationFactor : 1;
+    const double time = std::max(kMinRelativeTime, expected_time(now, endpoint));
     const double load = endpoint.in_flight + in_flight_elsewhere;
-    const double strength =
-        std::max(kLeastWeight, info.weight) * in_.slow_start.capacity(info, now);
-    return load * time * time * distance / strength;
+    const double weighted_capacity =
+        std::max(kMinWeight, info.weight) * inputs_.slow_start.capacity(info, now);
+    return load * time * time * location_factor / weighted_capacity;
 }
 
 // Relative response time at present. A sidecar that sees an endpoint seldom would stay with the one
 // whose single answer was quickest, so few or old answers are mixed with what all endpoints take.
 double LoadBalancer::expected_time(Seconds now, const Endpoint& endpoint) const {
-    const double common = in_.response_times.empty() ? 1 : in_.response_times.recent_relative();
-    const bool faded = now - endpoint.health.last_answer() > kAnswersFade;
-    const double answers = faded ? 0 : static_cast<double>(endpoint.concurrency.recent_answers());
-    return (answers * endpoint.concurrency.recent_time() + kCommonAnswers * common) /
-           (answers + kCommonAnswers);
+    const double overall_time =
+        inputs_.response_times.empty() ? 1 : inputs_.response_times.recent_relative();
+    const bool answers_expired = now - endpoint.health.last_answer_time() > kAnswerLifetime;
+    const double answers =
+        answers_expired ? 0 : static_cast<double>(endpoint.concurrency.recent_answers());
+    return (answers * endpoint.concurrency.recent_time() + kPriorAnswerCount * overall_time) /
+           (answers + kPriorAnswerCount);
 }
 
 // A process that has just started waits for its first list, which may be there in time.
-bool LoadBalancer::any_possible(Seconds now, const Request& request) const {
-    const bool first_list_read = in_.freshness.confirmed_at().has_value();
-    return std::any_of(in_.endpoints.begin(), in_.endpoints.end(), [&](const auto& entry) {
+bool LoadBalancer::has_possible_endpoint(Seconds now, const Request& request) const {
+    const bool first_list_read = inputs_.freshness.confirmed_at().has_value();
+    return std::any_of(inputs_.endpoints.begin(), inputs_.endpoints.end(), [&](const auto& entry) {
         const EndpointInfo& info = entry.second.info;
-        const bool ready =
-            first_list_read ? known_ready(now, entry.second) : info.state == EndpointState::ready;
-        return ready && in_.retry_policy.may_repeat_at(now, request, info) &&
-               !in_.exposure.closed(info.build);
+        const bool ready = first_list_read ? is_known_ready(now, entry.second)
+                                           : info.state == EndpointState::ready;
+        return ready && inputs_.retry_policy.may_repeat_at(now, request, info) &&
+               !inputs_.exposure.is_closed(info.build);
     });
 }
 
 // A list that can't be confirmed loses its validity: an endpoint that it calls ready gets nothing
 // new once its removal would count as notified for longer than the grace. That the endpoint still
 // accepts work shows nothing, since draining endpoints do so for seconds.
-bool LoadBalancer::known_ready(Seconds now, const Endpoint& endpoint) const {
-    return endpoint.info.state == EndpointState::ready && !in_.freshness.expired(now);
+bool LoadBalancer::is_known_ready(Seconds now, const Endpoint& endpoint) const {
+    return endpoint.info.state == EndpointState::ready && !inputs_.freshness.expired(now);
 }
 
 }  // namespace tideline
--- a/src/policy/load_balancer.hpp
+++ b/src/policy/load_balancer.hpp
@@ -29,22 +29,22 @@
 
 class LoadBalancer {
   public:
-    explicit LoadBalancer(const LoadBalancerInputs& inputs) : in_(inputs) {}
+    explicit LoadBalancer(const LoadBalancerInputs& inputs) : inputs_(inputs) {}
 
     // Null where no endpoint may take the request now.
     Endpoint* pick(Seconds now, const Request& request);
     // Whether some listed endpoint could take the request once it has room.
-    bool any_possible(Seconds now, const Request& request) const;
+    bool has_possible_endpoint(Seconds now, const Request& request) const;
     // Whether the list still says with certainty that the endpoint is ready.
-    bool known_ready(Seconds now, const Endpoint& endpoint) const;
+    bool is_known_ready(Seconds now, const Endpoint& endpoint) const;
 
   private:
     // In order of preference.
     enum class Preference { trial, normal, beyond_initial_load, attempted_before };
-    struct Price {
+    struct CandidateRank {
         Preference preference = Preference::normal;
         double cost = 0;
-        auto operator<=>(const Price&) const = default;
+        auto operator<=>(const CandidateRank&) const = default;
     };
     // What one selection computes at most once.
     struct Selection {
@@ -54,14 +54,14 @@
         std::optional<double> even_share;
     };
 
-    bool allowed(Selection& selection, Endpoint& endpoint);
-    bool build_allowed(Selection& selection, Build build);
+    bool is_allowed(Selection& selection, Endpoint& endpoint);
+    bool is_build_allowed(Selection& selection, Build build);
     double even_share(Selection& selection) const;
     Preference preference(Selection& selection, Endpoint& endpoint);
     double cost(Seconds now, const Endpoint& endpoint, double in_flight_elsewhere) const;
     double expected_time(Seconds now, const Endpoint& endpoint) const;
 
-    LoadBalancerInputs in_;
+    LoadBalancerInputs inputs_;
 };
 
 }  // namespace tideline
--- a/src/policy/load_shedder.hpp
+++ b/src/policy/load_shedder.hpp
@@ -15,7 +15,7 @@
     bool sheds(RandomSource& random) const {
         return random.uniform(0, 1) > sent_share_;
     }
-    bool active() const {
+    bool is_active() const {
         return sent_share_ < 1;
     }
 
--- a/src/policy/outlier_ejection.cpp
+++ b/src/policy/outlier_ejection.cpp
@@ -5,13 +5,13 @@
 namespace tideline {
 namespace {
 
-constexpr Seconds kFirstEjection = 0.5;
-constexpr Seconds kLongestEjection = 6;  // about as late as lists tell that an endpoint is gone
-constexpr Seconds kOverloadPause = 0.1;  // after the endpoint rejected an attempt
-constexpr int kFailuresToEject = 5;      // in a row; that many are no matter of chance
-constexpr double kLoggingSidecars = 8;   // of the fleet, on average, log an ejection
-constexpr double kJitterFrom = 0.75;     // factors between which an ejection is scattered
-constexpr double kJitterTo = 1.25;
+constexpr Seconds kInitialEjectionDuration = 0.5;
+constexpr Seconds kMaxEjectionDuration = 6;  // about as late as lists tell that an endpoint is gone
+constexpr Seconds kOverloadEjectionDuration = 0.1;  // after the endpoint rejected an attempt
+constexpr int kEjectionFailureThreshold = 5;        // in a row; that many are no matter of chance
+constexpr double kExpectedLoggingSidecars = 8;      // of the fleet, on average, log an ejection
+constexpr double kMinJitterFactor = 0.75;  // factors between which an ejection is scattered
+constexpr double kMaxJitterFactor = 1.25;
 
 }  // namespace
 
@@ -31,28 +31,29 @@
     return "unknown";
 }
 
-void OutlierEjection::succeeded(Seconds now) {
-    responded(now);
+void OutlierEjection::attempt_succeeded(Seconds now) {
+    response_started(now);
     consecutive_failures_ = 0;
 }
 
-void OutlierEjection::responded(Seconds now) {
-    last_answer_ = now;
-    ejection_time_ = 0;
+void OutlierEjection::response_started(Seconds now) {
+    last_answer_time_ = now;
+    ejection_duration_ = 0;
     ejected_until_ = kNever;
-    single_attempt_ = false;
+    single_attempt_only_ = false;
     health_check_sent_ = false;
 }
 
-bool OutlierEjection::failed(Seconds now) {
-    last_answer_ = now;
+bool OutlierEjection::attempt_failed(Seconds now) {
+    last_answer_time_ = now;
     ++consecutive_failures_;
-    return consecutive_failures_ >= (ejection_time_ > 0 ? 1 : kFailuresToEject);
+    return consecutive_failures_ >= (ejection_duration_ > 0 ? 1 : kEjectionFailureThreshold);
 }
 
-void OutlierEjection::overloaded(Seconds now, RandomSource& random) {
-    last_answer_ = now;
-    const Seconds pause = kOverloadPause * random.uniform(kJitterFrom, kJitterTo);
+void OutlierEjection::attempt_rejected(Seconds now, RandomSource& random) {
+    last_answer_time_ = now;
+    const Seconds pause =
+        kOverloadEjectionDuration * random.uniform(kMinJitterFactor, kMaxJitterFactor);
     ejected_until_ = std::max(ejected_until_, now + pause);
 }
 
@@ -60,22 +61,23 @@
     if (now < ejected_until_) {
         return EjectionLog::skip;
     }
-    const Seconds wanted = ejection_time_ == 0 ? kFirstEjection : 2 * ejection_time_;
-    ejection_time_ = std::min(kLongestEjection, wanted);
-    const bool logged =
-        ejection_time_ >= kLongestEjection && random.uniform(0, 1) < kLoggingSidecars / sidecars;
-    ejected_until_ = now + ejection_time_ * random.uniform(kJitterFrom, kJitterTo);
-    single_attempt_ = false;
+    const Seconds wanted =
+        ejection_duration_ == 0 ? kInitialEjectionDuration : 2 * ejection_duration_;
+    ejection_duration_ = std::min(kMaxEjectionDuration, wanted);
+    const bool logged = ejection_duration_ >= kMaxEjectionDuration &&
+                        random.uniform(0, 1) < kExpectedLoggingSidecars / sidecars;
+    ejected_until_ = now + ejection_duration_ * random.uniform(kMinJitterFactor, kMaxJitterFactor);
+    single_attempt_only_ = false;
     health_check_sent_ = false;
     return logged ? EjectionLog::write : EjectionLog::skip;
 }
 
-RecoveryStep OutlierEjection::recover(Seconds now, bool health_checks_allowed) {
-    if (ejection_time_ == 0 || single_attempt_ || now < ejected_until_) {
+RecoveryStep OutlierEjection::next_recovery_step(Seconds now, bool health_checks_allowed) {
+    if (ejection_duration_ == 0 || single_attempt_only_ || now < ejected_until_) {
         return RecoveryStep::none;
     }
     if (!health_checks_allowed) {
-        single_attempt_ = true;
+        single_attempt_only_ = true;
         return RecoveryStep::none;
     }
     if (health_check_sent_) {
--- a/src/policy/outlier_ejection.hpp
+++ b/src/policy/outlier_ejection.hpp
@@ -25,41 +25,41 @@
 class OutlierEjection {
   public:
     // An attempt succeeded.
-    void succeeded(Seconds now);
+    void attempt_succeeded(Seconds now);
     // The endpoint began to answer; its result is not known yet.
-    void responded(Seconds now);
+    void response_started(Seconds now);
     // An attempt failed. Returns whether so many failed in a row that it has to be ejected. Work
     // that fails at once makes an endpoint look idle and draws all requests to it.
-    bool failed(Seconds now);
+    bool attempt_failed(Seconds now);
     // The endpoint rejected an attempt: it gets none for a moment.
-    void overloaded(Seconds now, RandomSource& random);
+    void attempt_rejected(Seconds now, RandomSource& random);
     EjectionLog eject(Seconds now, double sidecars, RandomSource& random);
 
-    RecoveryStep recover(Seconds now, bool health_checks_allowed);
+    RecoveryStep next_recovery_step(Seconds now, bool health_checks_allowed);
     bool awaits_health_check() const {
         return health_check_sent_;
     }
     void health_check_succeeded() {
-        single_attempt_ = true;
+        single_attempt_only_ = true;
     }
 
-    bool ejected(Seconds now) const {
-        return now < ejected_until_ || (ejection_time_ > 0 && !single_attempt_);
+    bool is_ejected(Seconds now) const {
+        return now < ejected_until_ || (ejection_duration_ > 0 && !single_attempt_only_);
     }
     // Back from an ejection: one attempt at a time until it answers.
-    bool single_attempt() const {
-        return single_attempt_;
+    bool allows_single_attempt_only() const {
+        return single_attempt_only_;
     }
-    Seconds last_answer() const {
-        return last_answer_;
+    Seconds last_answer_time() const {
+        return last_answer_time_;
     }
 
   private:
-    Seconds last_answer_ = kNever;
+    Seconds last_answer_time_ = kNever;
     Seconds ejected_until_ = kNever;
-    Seconds ejection_time_ = 0;  // 0: answered since the last ejection
+    Seconds ejection_duration_ = 0;  // 0: answered since the last ejection
     int consecutive_failures_ = 0;
-    bool single_attempt_ = false;
+    bool single_attempt_only_ = false;
     bool health_check_sent_ = false;
 };
 
--- a/src/policy/pause_detector.hpp
+++ b/src/policy/pause_detector.hpp
@@ -11,8 +11,8 @@
     explicit PauseDetector(Seconds now) : last_event_(now) {}
 
     // To be called first at each event.
-    void event(Seconds now) {
-        if (now > last_event_ + kLongestSilence) {
+    void record_event(Seconds now) {
+        if (now > last_event_ + kMaxEventGap) {
             resumed_at_ = now;
         }
         last_event_ = now;
@@ -22,12 +22,12 @@
     }
     // Soon after a pause another may follow; what is queued here would then be answered late.
     bool recently_paused(Seconds now) const {
-        return now < resumed_at_ + kRecentlyPaused;
+        return now < resumed_at_ + kRecentPauseWindow;
     }
 
   private:
-    static constexpr Seconds kLongestSilence = 0.6;  // many ticks
-    static constexpr Seconds kRecentlyPaused = 10;
+    static constexpr Seconds kMaxEventGap = 0.6;  // many ticks
+    static constexpr Seconds kRecentPauseWindow = 10;
 
     Seconds last_event_;
     Seconds resumed_at_ = kNever;
--- a/src/policy/policy_settings.hpp
+++ b/src/policy/policy_settings.hpp
@@ -30,7 +30,7 @@
     int guarded_stages = 0;     // first stages that get idempotent requests only
     bool one_way_keys = false;  // a key answered by a new build may not return to an older one
     StageAdvance advanced_by = StageAdvance::votes;
-    Seconds least_stage_time = 0;
+    Seconds min_stage_time = 0;
     Seconds vote_lifetime = 0;
     Seconds vote_timeout = 0;
     double back_votes = 1;         // votes that withdraw a build
@@ -51,7 +51,7 @@
     explicit PolicySettings(const Settings& settings);
 
     EndpointListFreshness::Bounds list_bounds;
-    bool list_is_pushed = false;
+    bool is_list_pushed = false;
     double sidecars = 1;  // sidecars of the fleet, this one included
     std::vector<RequestClassSettings> request_classes;
     ReleaseSettings release;
--- a/src/policy/records.hpp
+++ b/src/policy/records.hpp
@@ -51,7 +51,7 @@
         return {static_cast<int>(attempts.size()) - 1};
     }
     // Null where there is no attempt of this number.
-    Attempt* attempt(AttemptNumber number) {
+    Attempt* find_attempt(AttemptNumber number) {
         const bool known = number.value >= 0 && number.value < static_cast<int>(attempts.size());
         return known ? &attempts[static_cast<std::size_t>(number.value)] : nullptr;
     }
@@ -92,9 +92,9 @@
     Build build;
     Stage stage;
     Phase phase = Phase::trial;
-    double cap = 0;     // share of the requests that the build may get
-    Seconds began = 0;  // start of the stage
-    bool judged() const {
+    double cap = 0;                // share of the requests that the build may get
+    Seconds stage_started_at = 0;  // start of the stage
+    bool is_judged() const {
         return phase == Phase::trial || phase == Phase::released;
     }
 };
--- a/src/policy/release_evidence.cpp
+++ b/src/policy/release_evidence.cpp
@@ -11,24 +11,24 @@
 // An answer is slow from this multiple of the median response time on.
 constexpr double kSlowMultiple = 2;
 // Answers of a request class: kept for its median, and needed before the median is used.
-constexpr std::size_t kResponseTimesKept = 64;
-constexpr std::size_t kResponseTimesNeeded = 12;
+constexpr std::size_t kMaxResponseTimes = 64;
+constexpr std::size_t kMinResponseTimes = 12;
 // Answers of the earlier build needed beside the judged one to judge slowness.
-constexpr double kEarlierAnswersForSlowness = 30;
+constexpr double kMinEarlierAnswersForSlowness = 30;
 // Answers of the earlier build in one stage from which on earlier stages are left out.
-constexpr double kEarlierAnswersEnough = 100;
+constexpr double kSufficientEarlierAnswers = 100;
 // Endpoints of one stage start within this time of each other; younger ones clear no other.
-constexpr Seconds kSameStageStart = 1;
+constexpr Seconds kSameStageStartWindow = 1;
 // An endpoint that fails more than this share, in several request classes, is itself broken.
-constexpr double kBrokenFailureShare = 0.5;
+constexpr double kBrokenFailureThreshold = 0.5;
 // Answers of other endpoints needed to blame one endpoint, and for a tally to count.
-constexpr double kClearingAnswers = 10;
+constexpr double kMinOtherAnswers = 10;
 
 double slow_threshold(const SlidingWindow<double>& times) {
     return kSlowMultiple * quantile(times, 0.5);
 }
 
-Count find_or_empty(const std::map<Charge, Count>& counts, Charge charge) {
+Count count_or_zero(const std::map<Charge, Count>& counts, Charge charge) {
     const auto found = counts.find(charge);
     return found == counts.end() ? Count{} : found->second;
 }
@@ -37,16 +37,16 @@
 
 void ReleaseEvidence::start_build(Build build, bool previous_released, double sent_recently) {
     // Flags are rare: all of the builds before are kept to compare with, unless one was withdrawn.
-    Count& flagged_before = earlier_stages_[kChargeFlagged];
-    flagged_before = flagged_before + earlier_[kChargeFlagged];
+    Count& flagged_before = earlier_stage_counts_[kChargeFlagged];
+    flagged_before = flagged_before + earlier_counts_[kChargeFlagged];
     if (previous_released) {
-        for (const auto& [endpoint, count] : present(kChargeFlagged)) {
+        for (const auto& [endpoint, count] : judged_counts(kChargeFlagged)) {
             flagged_before = flagged_before + count;
         }
     }
-    present_.clear();
-    earlier_.clear();
-    tallied_present_.clear();
+    judged_counts_.clear();
+    earlier_counts_.clear();
+    tallied_judged_.clear();
     tallied_earlier_.clear();
     times_before_trial_ = response_times_;
     sent_before_trial_ = sent_recently;
@@ -57,19 +57,19 @@
             slow_before_trial_ = slow_before_trial_ + Count{1, slow};
         }
     }
-    judged_ = build;
+    judged_build_ = build;
 }
 
 void ReleaseEvidence::finish_stage(Charge charge) {
-    earlier_stages_[charge] = earlier_stages_[charge] + earlier_[charge];
-    present_[charge].clear();
-    earlier_[charge] = Count{};
-    tallied_present_[charge] = Count{};
+    earlier_stage_counts_[charge] = earlier_stage_counts_[charge] + earlier_counts_[charge];
+    judged_counts_[charge].clear();
+    earlier_counts_[charge] = Count{};
+    tallied_judged_[charge] = Count{};
 }
 
-void ReleaseEvidence::drop_span() {
-    for (auto& [charge, counts] : present_) {
-        if (charge != kChargeFlagged && charge != kChargeFleet) {
+void ReleaseEvidence::drop_judging_window() {
+    for (auto& [charge, counts] : judged_counts_) {
+        if (charge != kChargeFlagged && charge != kChargeFleetSlowness) {
             counts.clear();
         }
     }
@@ -79,26 +79,26 @@
                                  Seconds took, bool under_pressure, bool released) {
     const EndpointInfo& endpoint = attempt.endpoint;
     // Flags come for answers of cold endpoints too.
-    add(kChargeFlagged, endpoint.id, endpoint.build, {1, 0});
+    add_count(kChargeFlagged, endpoint.id, endpoint.build, {1, 0});
     if (attempt.cold) {
         return;
     }
     const Count answer{1, failed ? 1.0 : 0.0};
-    add(charge_of(request.request_class), endpoint.id, endpoint.build, answer);
-    add(kChargeAnyFailure, endpoint.id, endpoint.build, answer);
+    add_count(charge_of(request.request_class), endpoint.id, endpoint.build, answer);
+    add_count(kChargeAnyFailure, endpoint.id, endpoint.build, answer);
     // Under pressure the endpoints with more requests in flight are slower whatever build they
     // run, and those of the trial have more.
     if (failed || !attempt.warm || under_pressure) {
         return;
     }
     auto& times =
-        response_times_.try_emplace(request.request_class, kResponseTimesKept).first->second;
+        response_times_.try_emplace(request.request_class, kMaxResponseTimes).first->second;
     if (static_cast<double>(times.size()) >=
-        settings_.evidence_fraction * static_cast<double>(kResponseTimesNeeded)) {
+        settings_.evidence_fraction * static_cast<double>(kMinResponseTimes)) {
         const double slow = took > slow_threshold(times) ? 1.0 : 0.0;
-        add(kChargeSlowness, endpoint.id, endpoint.build, {1, slow});
+        add_count(kChargeSlowness, endpoint.id, endpoint.build, {1, slow});
     }
-    if (endpoint.build < judged_ || released) {
+    if (endpoint.build < judged_build_ || released) {
         times.add(took);
     }
 }
@@ -108,60 +108,61 @@
     const auto times = times_before_trial_.find(request_class);
     if (times == times_before_trial_.end() ||
         static_cast<double>(times->second.size()) <
-            settings_.evidence_fraction * static_cast<double>(kResponseTimesNeeded)) {
+            settings_.evidence_fraction * static_cast<double>(kMinResponseTimes)) {
         return;
     }
-    Count& count = present_[kChargeFleet][endpoint];
+    Count& count = judged_counts_[kChargeFleetSlowness][endpoint];
     count = count + Count{1, took > slow_threshold(times->second) ? 1.0 : 0.0};
 }
 
 void ReleaseEvidence::add_flag(const EndpointId& endpoint, Build build) {
-    add(kChargeFlagged, endpoint, build, {0, 1});
+    add_count(kChargeFlagged, endpoint, build, {0, 1});
 }
 
 void ReleaseEvidence::add_tally(Build build, RequestClass request_class, const Count& count) {
-    if (build > judged_) {
+    if (build > judged_build_) {
         return;
     }
-    auto& counts = build == judged_ ? tallied_present_ : tallied_earlier_;
+    auto& counts = build == judged_build_ ? tallied_judged_ : tallied_earlier_;
     Count& total = counts[charge_of(request_class)];
     total = total + count;
 }
 
-void ReleaseEvidence::add(Charge charge, const EndpointId& endpoint, Build build,
-                          const Count& count) {
-    if (build > judged_) {
+void ReleaseEvidence::add_count(Charge charge, const EndpointId& endpoint, Build build,
+                                const Count& count) {
+    if (build > judged_build_) {
         return;
     }
-    Count& total = build == judged_ ? present_[charge][endpoint] : earlier_[charge];
+    Count& total =
+        build == judged_build_ ? judged_counts_[charge][endpoint] : earlier_counts_[charge];
     total = total + count;
 }
 
-const ReleaseEvidence::CountsByEndpoint& ReleaseEvidence::present(Charge charge) const {
+const ReleaseEvidence::CountsByEndpoint& ReleaseEvidence::judged_counts(Charge charge) const {
     static const CountsByEndpoint none;
-    const auto found = present_.find(charge);
-    return found == present_.end() ? none : found->second;
+    const auto found = judged_counts_.find(charge);
+    return found == judged_counts_.end() ? none : found->second;
 }
 
 // The half of the endpoints with the least share of bad answers: a fault of some machines does not
 // touch it. Where several back votes have to agree the part is larger, since with one answer an
 // endpoint a half would be chance. Compared with all endpoints as they were before the trial, the
 // best half would hide a slowdown of all; there the middle half is taken.
-Count ReleaseEvidence::calmer_half(const CountsByEndpoint& counts, bool middle) const {
+Count ReleaseEvidence::trimmed_count(const CountsByEndpoint& counts, bool both_sides) const {
     std::vector<Count> sorted;
     for (const auto& [endpoint, count] : counts) {
         sorted.push_back(count);
     }
     std::sort(sorted.begin(), sorted.end(),
               [](auto& left, auto& right) { return left.share() < right.share(); });
-    const auto left_out = static_cast<std::size_t>(settings_.evidence_fraction / 2 *
-                                                   static_cast<double>(sorted.size()));
-    const std::size_t from = middle ? left_out / 2 : 0;
-    Count half;
-    for (std::size_t i = from; i < sorted.size() - left_out + from; ++i) {
-        half = half + sorted[i];
+    const auto trimmed_endpoints = static_cast<std::size_t>(settings_.evidence_fraction / 2 *
+                                                            static_cast<double>(sorted.size()));
+    const std::size_t from = both_sides ? trimmed_endpoints / 2 : 0;
+    Count trimmed;
+    for (std::size_t i = from; i < sorted.size() - trimmed_endpoints + from; ++i) {
+        trimmed = trimmed + sorted[i];
     }
-    return half;
+    return trimmed;
 }
 
 // Machines that fail whatever they get would mark a good build, early in a trial where little else
@@ -172,7 +173,7 @@
         int failing_classes = 0;
     };
     std::map<EndpointId, EndpointFailures> failures;
-    for (const auto& [charge, counts] : present_) {
+    for (const auto& [charge, counts] : judged_counts_) {
         for (const auto& [endpoint, count] : counts) {
             EndpointFailures& own = failures[endpoint];
             if (charge.value >= 0) {
@@ -183,12 +184,12 @@
     }
     std::set<EndpointId> broken;
     for (const auto& [endpoint, own] : failures) {
-        if (own.failing_classes > 1 && own.answers.share() > kBrokenFailureShare) {
+        if (own.failing_classes > 1 && own.answers.share() > kBrokenFailureThreshold) {
             broken.insert(endpoint);
         }
     }
-    const bool most = broken.size() > 1 && 2 * broken.size() > failures.size();
-    return most ? std::set<EndpointId>{} : broken;
+    const bool most_are_broken = broken.size() > 1 && 2 * broken.size() > failures.size();
+    return most_are_broken ? std::set<EndpointId>{} : broken;
 }
 
 // One broken or slow machine may not mark a good build for good. What a build does it does on all
@@ -213,24 +214,24 @@
     const Seconds worst_started = endpoints_.started_at(worst->first);
     for (const auto& [endpoint, count] : counts) {
         if (!broken.contains(endpoint) && endpoint != worst->first &&
-            endpoints_.started_at(endpoint) <= worst_started + kSameStageStart) {
+            endpoints_.started_at(endpoint) <= worst_started + kSameStageStartWindow) {
             others = others + count;
         }
     }
-    if (others.seen < kClearingAnswers || others.bad > 0) {
+    if (others.seen < kMinOtherAnswers || others.bad > 0) {
         return all;
     }
     return {all.seen - worst->second.seen, all.bad - worst->second.bad};
 }
 
 // Slowness always leaves endpoints out; with a single one the build's slowness is not judged.
-Count ReleaseEvidence::of_judged_build(Charge charge) const {
-    const CountsByEndpoint& counts = present(charge);
+Count ReleaseEvidence::judged_build_count(Charge charge) const {
+    const CountsByEndpoint& counts = judged_counts(charge);
     if (charge == kChargeSlowness) {
-        return counts.size() < 2 ? Count{} : calmer_half(counts, false);
+        return counts.size() < 2 ? Count{} : trimmed_count(counts, false);
     }
-    if (charge == kChargeFleet) {
-        return calmer_half(counts, true);
+    if (charge == kChargeFleetSlowness) {
+        return trimmed_count(counts, true);
     }
     const bool by_failures = charge.value >= 0 || charge == kChargeAnyFailure;
     return without_worst_endpoint(counts,
@@ -239,35 +240,35 @@
 
 // Where the earlier build gets too little in this stage, the stages before count too. Slowness is
 // compared within one stage only, since a busier hour makes any build slow.
-Count ReleaseEvidence::of_earlier_builds(Charge charge) const {
-    const Count in_stage = find_or_empty(earlier_, charge);
-    if (charge == kChargeFleet) {
+Count ReleaseEvidence::earlier_builds_count(Charge charge) const {
+    const Count in_present_stage = count_or_zero(earlier_counts_, charge);
+    if (charge == kChargeFleetSlowness) {
         return slow_before_trial_;
     }
     if (charge == kChargeSlowness) {
-        const double needed = settings_.evidence_fraction * kEarlierAnswersForSlowness;
-        return in_stage.seen >= needed ? in_stage : Count{};
+        const double needed = settings_.evidence_fraction * kMinEarlierAnswersForSlowness;
+        return in_present_stage.seen >= needed ? in_present_stage : Count{};
     }
-    if (charge != kChargeFlagged && in_stage.seen >= kEarlierAnswersEnough) {
-        return in_stage;
+    if (charge != kChargeFlagged && in_present_stage.seen >= kSufficientEarlierAnswers) {
+        return in_present_stage;
     }
-    return in_stage + find_or_empty(earlier_stages_, charge);
+    return in_present_stage + count_or_zero(earlier_stage_counts_, charge);
 }
 
 // A cut link or a dead machine hits all request classes alike and says nothing of the build.
-Count ReleaseEvidence::tallied_beyond_common(Charge charge) const {
+Count ReleaseEvidence::tallied_above_common_failures(Charge charge) const {
     double common = 1;
-    for (const auto& [each, count] : tallied_present_) {
-        if (count.seen >= kClearingAnswers) {
+    for (const auto& [each, count] : tallied_judged_) {
+        if (count.seen >= kMinOtherAnswers) {
             common = std::min(common, count.share());
         }
     }
-    const Count tallied = find_or_empty(tallied_present_, charge);
+    const Count tallied = count_or_zero(tallied_judged_, charge);
     return {tallied.seen, std::max(0.0, tallied.bad - common * tallied.seen)};
 }
 
 Count ReleaseEvidence::tallied_earlier(Charge charge) const {
-    return find_or_empty(tallied_earlier_, charge);
+    return count_or_zero(tallied_earlier_, charge);
 }
 
 }  // namespace tideline
--- a/src/policy/release_evidence.hpp
+++ b/src/policy/release_evidence.hpp
@@ -14,10 +14,10 @@
 
 // What a build may be marked for. Values from 0 up are request classes that fail.
 using Charge = Id<struct ChargeTag, int>;
-constexpr Charge kChargeSlowness{-1};    // slower than the earlier build beside it
-constexpr Charge kChargeFlagged{-2};     // answers that clients flagged as wrong
-constexpr Charge kChargeFleet{-3};       // slows the endpoints of the earlier build too
-constexpr Charge kChargeAnyFailure{-4};  // failures of all request classes together
+constexpr Charge kChargeSlowness{-1};       // slower than the earlier build beside it
+constexpr Charge kChargeFlagged{-2};        // answers that clients flagged as wrong
+constexpr Charge kChargeFleetSlowness{-3};  // slows the endpoints of the earlier build too
+constexpr Charge kChargeAnyFailure{-4};     // failures of all request classes together
 constexpr Charge kFirstCharge = kChargeAnyFailure;
 
 constexpr Charge charge_of(RequestClass request_class) {
@@ -36,7 +36,7 @@
     // Adds the present stage's answers on a charge to those of earlier stages.
     void finish_stage(Charge charge);
     // Drops the judged build's answers but those whose evidence is kept for the whole trial.
-    void drop_span();
+    void drop_judging_window();
 
     void add_answer(const Request& request, const Attempt& attempt, bool failed, Seconds took,
                     bool under_pressure, bool build_is_released_or_earlier);
@@ -46,39 +46,39 @@
     // Counts of other sidecars.
     void add_tally(Build build, RequestClass request_class, const Count& count);
 
-    Build judged() const {
-        return judged_;
+    Build judged_build() const {
+        return judged_build_;
     }
     double sent_before_trial() const {
         return sent_before_trial_;
     }
     // Answers of the judged build on a charge, without those of endpoints that are to blame
     // themselves.
-    Count of_judged_build(Charge charge) const;
+    Count judged_build_count(Charge charge) const;
     // Answers to compare with.
-    Count of_earlier_builds(Charge charge) const;
+    Count earlier_builds_count(Charge charge) const;
     // Tallied failures of a request class beyond those that all request classes share.
-    Count tallied_beyond_common(Charge charge) const;
+    Count tallied_above_common_failures(Charge charge) const;
     Count tallied_earlier(Charge charge) const;
 
   private:
     using CountsByEndpoint = std::map<EndpointId, Count>;
 
-    void add(Charge charge, const EndpointId& endpoint, Build build, const Count& count);
-    const CountsByEndpoint& present(Charge charge) const;
+    void add_count(Charge charge, const EndpointId& endpoint, Build build, const Count& count);
+    const CountsByEndpoint& judged_counts(Charge charge) const;
     // The median half of the endpoints, or the half with the least share of bad answers.
-    Count calmer_half(const CountsByEndpoint& counts, bool middle) const;
+    Count trimmed_count(const CountsByEndpoint& counts, bool both_sides) const;
     Count without_worst_endpoint(const CountsByEndpoint& counts,
                                  const std::set<EndpointId>& broken) const;
     std::set<EndpointId> broken_endpoints() const;
 
     const ReleaseSettings& settings_;
     const EndpointSet& endpoints_;
-    Build judged_;
-    std::map<Charge, CountsByEndpoint> present_;  // judged build, present stage
-    std::map<Charge, Count> earlier_;             // earlier builds, present stage
-    std::map<Charge, Count> earlier_stages_;      // earlier builds, stages before
-    std::map<Charge, Count> tallied_present_;
+    Build judged_build_;
+    std::map<Charge, CountsByEndpoint> judged_counts_;  // judged build, present stage
+    std::map<Charge, Count> earlier_counts_;            // earlier builds, present stage
+    std::map<Charge, Count> earlier_stage_counts_;      // earlier builds, stages before
+    std::map<Charge, Count> tallied_judged_;
     std::map<Charge, Count> tallied_earlier_;
     std::map<RequestClass, SlidingWindow<double>> response_times_;
     std::map<RequestClass, SlidingWindow<double>> times_before_trial_;
--- a/src/policy/release_state.hpp
+++ b/src/policy/release_state.hpp
@@ -30,10 +30,10 @@
     const std::optional<ReleaseStatus>& status() const {
         return status_;
     }
-    bool judged() const {
-        return status_ && status_->judged();
+    bool is_judged() const {
+        return status_ && status_->is_judged();
     }
-    bool announced(Build build) const {
+    bool is_announced(Build build) const {
         return status_ && build == status_->build;
     }
     TrialParticipation participation() const {
@@ -46,7 +46,7 @@
     // The share of the requests that `build` may get. A build that was not announced counts as in
     // the first stage; a restricted participation lowers the cap further.
     double cap_of(Build build, double first_cap) const {
-        const double cap = announced(build) ? status_->cap : first_cap;
+        const double cap = is_announced(build) ? status_->cap : first_cap;
         switch (participation_) {
             case TrialParticipation::no_trial:
                 return 0;
@@ -58,7 +58,7 @@
         return cap;
     }
     int stage_of(Build build) const {
-        return announced(build) ? status_->stage.value : 0;
+        return is_announced(build) ? status_->stage.value : 0;
     }
 
   private:
--- a/src/policy/request_router.cpp
+++ b/src/policy/request_router.cpp
@@ -13,16 +13,16 @@
 
 }  // namespace
 
-void RequestRouter::arrived(Seconds now, const NewRequest& request) {
+void RequestRouter::request_arrived(Seconds now, const NewRequest& request) {
     if (!modules_.settings.knows(request.request_class)) {
         return;
     }
     modules_.exposure.request_received(now, request.request_class);
     modules_.admission.request_received(now, request.tenant);
-    handed_over(now, request);
+    request_handed_over(now, request);
 }
 
-void RequestRouter::handed_over(Seconds now, const NewRequest& arrival) {
+void RequestRouter::request_handed_over(Seconds now, const NewRequest& arrival) {
     if (!modules_.settings.knows(arrival.request_class)) {
         return;
     }
@@ -33,17 +33,17 @@
     request.key = arrival.key;
     request.received_at = now;
     request.deadline = now + arrival.budget;
-    place(now, arrival.id, requests_.add(arrival.id, std::move(request)));
+    dispatch(now, arrival.id, requests_.add(arrival.id, std::move(request)));
 }
 
 // Sends a request, queues it while that makes sense, or rejects it.
-void RequestRouter::place(Seconds now, RequestId id, Request& request) {
+void RequestRouter::dispatch(Seconds now, RequestId id, Request& request) {
     const AdmissionDecision admission = modules_.admission.decide(now, request, requests_);
     if (!admission.is_admitted()) {
         return reject(id, request, admission.reason());
     }
-    const bool may_pick = !request.attempts.empty() || requests_.queue_empty();
-    Endpoint* endpoint = may_pick ? modules_.balancer.pick(now, request) : nullptr;
+    const bool may_skip_queue = !request.attempts.empty() || requests_.queue_empty();
+    Endpoint* endpoint = may_skip_queue ? modules_.balancer.pick(now, request) : nullptr;
     if (endpoint) {
         return send(now, id, request, *endpoint);
     }
@@ -54,7 +54,7 @@
 }
 
 AdmissionDecision RequestRouter::enqueue(Seconds now, RequestId id, Request& request) {
-    if (!modules_.balancer.any_possible(now, request)) {
+    if (!modules_.balancer.has_possible_endpoint(now, request)) {
         return AdmissionDecision::rejected(modules_.discovery.freshness().expired(now)
                                                ? RejectionReason::endpoint_list_expired
                                                : RejectionReason::no_endpoint);
@@ -77,8 +77,8 @@
     Attempt attempt;
     attempt.endpoint = endpoint.info;
     attempt.sent = now;
-    attempt.warm = !slow_start.warming_up(endpoint.info, now);
-    attempt.cold = slow_start.too_young_for_evidence(endpoint.info, now);
+    attempt.warm = !slow_start.is_warming_up(endpoint.info, now);
+    attempt.cold = slow_start.is_too_young_for_evidence(endpoint.info, now);
     request.attempts.push_back(attempt);
     request.waiting = false;
     ++endpoint.in_flight;
@@ -114,7 +114,7 @@
         } else if (now > modules_.admission.latest_useful_send(request)) {
             reject(id, request, RejectionReason::too_late);
         } else if (modules_.discovery.freshness().expired(now) &&
-                   !modules_.balancer.any_possible(now, request)) {
+                   !modules_.balancer.has_possible_endpoint(now, request)) {
             reject(id, request, RejectionReason::endpoint_list_expired);
         } else {
             requests_.requeue(id);
@@ -124,7 +124,7 @@
 
 void RequestRouter::attempt_ended(Seconds now, const AttemptEnd& end) {
     Request* request = requests_.find(end.request);
-    Attempt* attempt = request ? request->attempt(end.number) : nullptr;
+    Attempt* attempt = request ? request->find_attempt(end.number) : nullptr;
     if (!attempt || attempt->ended || attempt->endpoint.id != end.endpoint) {
         return;
     }
@@ -135,7 +135,7 @@
     if (end.outcome == Outcome::succeeded) {
         count_success(now, *request, *attempt, endpoint, end.took);
     } else if (end.outcome == Outcome::timed_out) {
-        modules_.response_times.timed_out(request->request_class, end.took);
+        modules_.response_times.attempt_timed_out(request->request_class, end.took);
     }
     update_health(now, endpoint, *attempt, end.outcome);
     modules_.judge.attempt_ended(now, *request, *attempt, end.outcome, end.took);
@@ -148,8 +148,9 @@
 void RequestRouter::count_success(Seconds now, const Request& request, const Attempt& attempt,
                                   Endpoint& endpoint, Seconds took) {
     ResponseTimes& times = modules_.response_times;
-    times.answered(request.request_class, took);
-    endpoint.concurrency.answered(times.relative(request.request_class, took), endpoint.in_flight);
+    times.attempt_answered(request.request_class, took);
+    endpoint.concurrency.attempt_answered(times.relative(request.request_class, took),
+                                          endpoint.in_flight);
     modules_.slow_start.request_served(now);
     modules_.admission.request_served(now);
     modules_.exposure.request_answered(request, attempt.endpoint.build);
@@ -159,22 +160,22 @@
                                   Outcome outcome) {
     switch (outcome) {
         case Outcome::succeeded:
-            return endpoint.health.succeeded(now);
+            return endpoint.health.attempt_succeeded(now);
         case Outcome::failed:
         case Outcome::malformed:
-            if (endpoint.health.failed(now)) {
+            if (endpoint.health.attempt_failed(now)) {
                 eject(now, endpoint, EjectionReason::consecutive_failures);
             }
             return;
         case Outcome::overloaded:
-            return endpoint.health.overloaded(now, modules_.random);
+            return endpoint.health.attempt_rejected(now, modules_.random);
         case Outcome::unreachable:
             return eject(now, endpoint, EjectionReason::unreachable);
         case Outcome::broken:
             return eject(now, endpoint, EjectionReason::connection_broken);
         case Outcome::timed_out:
             // After a pause of this process its own late clock looks like the endpoint's silence.
-            if (endpoint.health.last_answer() <= attempt.sent &&
+            if (endpoint.health.last_answer_time() <= attempt.sent &&
                 !modules_.pauses.paused_since(attempt.sent)) {
                 eject(now, endpoint, EjectionReason::no_answer);
             }
@@ -205,20 +206,20 @@
     if (outcome == Outcome::timed_out && now >= request.deadline - kTickInterval) {
         return reject(id, request, RejectionReason::timed_out);
     }
-    place(now, id, request);
+    dispatch(now, id, request);
 }
 
 void RequestRouter::stream_started(Seconds now, RequestId id, AttemptNumber number) {
     Request* request = requests_.find(id);
-    const Attempt* attempt = request ? request->attempt(number) : nullptr;
+    const Attempt* attempt = request ? request->find_attempt(number) : nullptr;
     if (attempt) {
-        modules_.endpoints.find_or_add(attempt->endpoint.id).health.responded(now);
+        modules_.endpoints.find_or_add(attempt->endpoint.id).health.response_started(now);
     }
 }
 
 bool RequestRouter::may_still_send(Seconds now, RequestId id, AttemptNumber number) {
     Request* request = requests_.find(id);
-    Attempt* last = request ? request->attempt(number) : nullptr;
+    Attempt* last = request ? request->find_attempt(number) : nullptr;
     if (last == nullptr || request->concluded || number != request->last_attempt()) {
         return false;
     }
@@ -230,12 +231,12 @@
     attempt.may_have_run = true;
     const bool same_endpoint =
         info.build == attempt.endpoint.build && info.started == attempt.endpoint.started;
-    attempt.recalled = !modules_.balancer.known_ready(now, endpoint) || !same_endpoint ||
+    attempt.recalled = !modules_.balancer.is_known_ready(now, endpoint) || !same_endpoint ||
                        !may_repeat || modules_.exposure.recalls(info.build, attempt.sent);
     return !attempt.recalled && now < request->deadline;
 }
 
-void RequestRouter::abandoned(RequestId id) {
+void RequestRouter::request_abandoned(RequestId id) {
     Request* request = requests_.find(id);
     if (!request) {
         return;
--- a/src/policy/request_router.hpp
+++ b/src/policy/request_router.hpp
@@ -35,16 +35,16 @@
   public:
     explicit RequestRouter(PolicyModules& modules) : modules_(modules) {}
 
-    void arrived(Seconds now, const NewRequest& request);
+    void request_arrived(Seconds now, const NewRequest& request);
     // Another sidecar received it and counted it.
-    void handed_over(Seconds now, const NewRequest& request);
+    void request_handed_over(Seconds now, const NewRequest& request);
     void stream_started(Seconds now, RequestId id, AttemptNumber number);
     void attempt_ended(Seconds now, const AttemptEnd& end);
     // Asked before the first byte of an attempt that waited for a connection: meanwhile its
     // endpoint may drain or be another, the cap may have fallen, or the time in which a repeat is
     // recognised may be over.
     bool may_still_send(Seconds now, RequestId id, AttemptNumber number);
-    void abandoned(RequestId id);
+    void request_abandoned(RequestId id);
     void serve_queue(Seconds now);
 
     bool queue_empty() const {
@@ -56,7 +56,7 @@
     void eject(Seconds now, Endpoint& endpoint, EjectionReason reason);
 
   private:
-    void place(Seconds now, RequestId id, Request& request);
+    void dispatch(Seconds now, RequestId id, Request& request);
     AdmissionDecision enqueue(Seconds now, RequestId id, Request& request);
     void send(Seconds now, RequestId id, Request& request, Endpoint& endpoint);
     void reject(RequestId id, Request& request, RejectionReason reason);
--- a/src/policy/response_times.hpp
+++ b/src/policy/response_times.hpp
@@ -13,8 +13,8 @@
   public:
     explicit ResponseTimes(const PolicySettings& settings);
 
-    void answered(RequestClass request_class, Seconds took);
-    void timed_out(RequestClass request_class, Seconds took);
+    void attempt_answered(RequestClass request_class, Seconds took);
+    void attempt_timed_out(RequestClass request_class, Seconds took);
 
     Seconds shortest(RequestClass request_class) const;
     Seconds median(RequestClass request_class) const;
@@ -23,14 +23,14 @@
     // Median of the newest relative times of all endpoints; 0 if there is none.
     double recent_relative() const;
     bool empty() const {
-        return relative_.empty();
+        return recent_relative_times_.empty();
     }
 
   private:
     struct ClassTimes {
         ClassTimes();
         SlidingWindow<double> recent;
-        BatchedMeans means;
+        BatchedMeans batch_means;
     };
 
     const ClassTimes& of(RequestClass request_class) const {
@@ -39,7 +39,7 @@
 
     const PolicySettings& settings_;
     std::vector<ClassTimes> times_;
-    SlidingWindow<double> relative_;
+    SlidingWindow<double> recent_relative_times_;
 };
 
 }  // namespace tideline
--- a/src/policy/routing_policy.cpp
+++ b/src/policy/routing_policy.cpp
@@ -8,7 +8,7 @@
 
 // Between ticks while no request waits, for votes and the judge; scattered from half of it up.
 constexpr Seconds kIdleTickInterval = 0.25;
-constexpr double kIdleTickJitterFrom = 0.5;
+constexpr double kMinIdleTickJitterFactor = 0.5;
 
 }  // namespace
 
@@ -17,10 +17,10 @@
     PolicyState(Host& host, const Settings& settings, std::uint64_t seed, Seconds now)
         : modules(host, settings, seed, now) {
         modules.timer.fire_within(now, kIdleTickInterval);
-        if (modules.settings.list_is_pushed) {
+        if (modules.settings.is_list_pushed) {
             return;
         }
-        modules.discovery.started(now);
+        modules.discovery.process_started(now);
         open_watch_if_due(now);
     }
 
@@ -33,7 +33,7 @@
         cast_vote(now);
         modules.timer.restart(
             now, router.queue_empty()
-                     ? kIdleTickInterval * modules.random.uniform(kIdleTickJitterFrom, 1)
+                     ? kIdleTickInterval * modules.random.uniform(kMinIdleTickJitterFactor, 1)
                      : kTickInterval);
     }
     void open_watch_if_due(Seconds now) {
@@ -54,11 +54,11 @@
     }
     void recover_endpoints(Seconds now) {
         for (auto& [id, endpoint] : modules.endpoints) {
-            if (!modules.balancer.known_ready(now, endpoint)) {
+            if (!modules.balancer.is_known_ready(now, endpoint)) {
                 continue;
             }
             const RecoveryStep step =
-                endpoint.health.recover(now, modules.settings.health_checks_allowed);
+                endpoint.health.next_recovery_step(now, modules.settings.health_checks_allowed);
             if (step == RecoveryStep::send_health_check) {
                 modules.host.send_health_check(id);
             }
@@ -71,11 +71,11 @@
         }
     }
     void cast_vote(Seconds now) {
-        const auto ballot = modules.ballots.next(now);
+        const auto ballot = modules.ballots.next_ballot(now);
         if (!ballot) {
             return;
         }
-        if (ballot->newly_back) {
+        if (ballot->is_first_back_vote) {
             modules.host.log_event("vote back: build=" + std::to_string(ballot->build.value) +
                                    " stage=" + std::to_string(ballot->stage.value));
         }
@@ -91,14 +91,14 @@
 RoutingPolicy::~RoutingPolicy() = default;
 
 RoutingPolicy::PolicyState& RoutingPolicy::at(Seconds now) {
-    state_->modules.pauses.event(now);
+    state_->modules.pauses.record_event(now);
     return *state_;
 }
 
 void RoutingPolicy::endpoints_updated(Seconds now, EndpointListKind kind,
-                                      const std::vector<EndpointInfo>& lines) {
+                                      const std::vector<EndpointInfo>& endpoints) {
     PolicyState& state = at(now);
-    state.modules.endpoints.update(now, kind, lines);
+    state.modules.endpoints.update(now, kind, endpoints);
     state.modules.discovery.list_read(kind);
     state.router.serve_queue(now);
 }
@@ -108,11 +108,11 @@
 }
 
 void RoutingPolicy::endpoint_list_unreadable(Seconds now, Seconds since) {
-    at(now).modules.discovery.unreadable(since);
+    at(now).modules.discovery.change_unreadable(since);
 }
 
 void RoutingPolicy::discovery_moved(Seconds now, Seconds since) {
-    at(now).modules.discovery.moved(since);
+    at(now).modules.discovery.service_moved(since);
 }
 
 void RoutingPolicy::watch_lost(Seconds now, Seconds since, WatchLoss loss) {
@@ -122,13 +122,13 @@
 void RoutingPolicy::request_arrived(Seconds now, RequestId request, RequestClass request_class,
                                     TenantId tenant, std::optional<ObjectKey> key, Seconds budget,
                                     std::optional<Seconds>) {
-    at(now).router.arrived(now, {request, request_class, tenant, key, budget, {}});
+    at(now).router.request_arrived(now, {request, request_class, tenant, key, budget, {}});
 }
 
 void RoutingPolicy::request_handed_over(Seconds now, RequestId request, RequestClass request_class,
                                         TenantId tenant, std::optional<ObjectKey> key,
                                         Seconds budget, const std::vector<Attempt>& earlier) {
-    at(now).router.handed_over(now, {request, request_class, tenant, key, budget, earlier});
+    at(now).router.request_handed_over(now, {request, request_class, tenant, key, budget, earlier});
 }
 
 void RoutingPolicy::stream_started(Seconds now, RequestId request, AttemptNumber number) {
@@ -146,7 +146,7 @@
 }
 
 void RoutingPolicy::request_abandoned(Seconds now, RequestId request) {
-    at(now).router.abandoned(request);
+    at(now).router.request_abandoned(request);
 }
 
 void RoutingPolicy::health_check_ended(Seconds now, const EndpointId& id, Outcome outcome, Seconds,
@@ -190,7 +190,7 @@
 }
 
 void RoutingPolicy::vote_answered(Seconds now, VoteReply reply) {
-    at(now).modules.ballots.answered(now, reply);
+    at(now).modules.ballots.vote_answered(now, reply);
 }
 
 void RoutingPolicy::trial_participation_set(Seconds now, TrialParticipation participation) {
@@ -199,14 +199,14 @@
     state.router.serve_queue(now);
 }
 
-void RoutingPolicy::slow_start_limit_set(Seconds now, const EndpointId& id, double most,
-                                         Seconds valid) {
+void RoutingPolicy::slow_start_limit_set(Seconds now, const EndpointId& id, double max_attempts,
+                                         Seconds valid_for) {
     PolicyState& state = at(now);
     Endpoint* endpoint = state.modules.endpoints.find(id);
     if (!endpoint) {
         return;
     }
-    endpoint->slow_start.grant(most, now + valid);
+    endpoint->slow_start.grant(max_attempts, now + valid_for);
     state.router.serve_queue(now);
 }
 
--- a/src/policy/routing_policy.hpp
+++ b/src/policy/routing_policy.hpp
@@ -27,7 +27,7 @@
     virtual void watch_endpoint_list() = 0;
     virtual void vote(Build build, Stage stage, Vote vote) = 0;
     // Sets a timer, which can't be cancelled.
-    virtual void set_timer(Seconds after, TimerId set_timer) = 0;
+    virtual void set_timer(Seconds delay, TimerId timer) = 0;
     // The build is judged to be bad; a log line says why.
     virtual void build_condemned(Build, Stage) {}
     // Writes a log line.
@@ -46,7 +46,7 @@
 
     // A list alone confirms nothing: once it was read whole, endpoint_list_confirmed follows.
     void endpoints_updated(Seconds now, EndpointListKind kind,
-                           const std::vector<EndpointInfo>& lines);
+                           const std::vector<EndpointInfo>& endpoints);
     // A message of the watch, with or without a change: all that was notified by `as_of` is known.
     void endpoint_list_confirmed(Seconds now, Seconds as_of);
     // In these calls `since` is the earliest time at which the event may have arrived.
@@ -85,7 +85,8 @@
     void trial_participation_set(Seconds now, TrialParticipation trial_participation);
     // The coordinator grants `most` attempts in a window to a cold endpoint, for `valid` seconds.
     // The own slow start rule holds besides.
-    void slow_start_limit_set(Seconds now, const EndpointId& endpoint, double most, Seconds valid);
+    void slow_start_limit_set(Seconds now, const EndpointId& endpoint, double max_attempts,
+                              Seconds valid_for);
     void timer_fired(Seconds now, TimerId timer);
     // Requests rejected since the start, by reason; for the log.
     long rejections(RejectionReason reason) const;
--- a/src/policy/samples.hpp
+++ b/src/policy/samples.hpp
@@ -12,10 +12,10 @@
 template <class Value>
 class SlidingWindow {
   public:
-    explicit SlidingWindow(std::size_t most) : most_(most) {}
+    explicit SlidingWindow(std::size_t max_size) : max_size_(max_size) {}
     void add(Value value) {
         kept_.push_back(value);
-        if (kept_.size() > most_) {
+        if (kept_.size() > max_size_) {
             kept_.pop_front();
         }
     }
@@ -39,61 +39,61 @@
     }
 
   private:
-    std::size_t most_;
+    std::size_t max_size_;
     std::deque<Value> kept_;
 };
 
 // The value below which `part` of the values lie; 0 if there is none.
-template <class Few>
-double quantile(const Few& few, double part) {
-    std::vector<double> sorted(few.begin(), few.end());
+template <class Values>
+double quantile(const Values& values, double fraction) {
+    std::vector<double> sorted(values.begin(), values.end());
     if (sorted.empty()) {
         return 0;
     }
-    auto at =
-        sorted.begin() + static_cast<std::ptrdiff_t>(part * static_cast<double>(sorted.size() - 1));
-    std::nth_element(sorted.begin(), at, sorted.end());
-    return *at;
+    auto position = sorted.begin() +
+                    static_cast<std::ptrdiff_t>(fraction * static_cast<double>(sorted.size() - 1));
+    std::nth_element(sorted.begin(), position, sorted.end());
+    return *position;
 }
 
 // Means of batches of a fixed length: the mean of the newest values, and the least mean among the
 // batches kept.
 class BatchedMeans {
   public:
-    BatchedMeans(std::size_t length, std::size_t runs)
-        : newest_(length), means_(runs), length_(length) {}
+    BatchedMeans(std::size_t batch_size, std::size_t max_batches)
+        : newest_(batch_size), means_(max_batches), batch_size_(batch_size) {}
     // True when the value completes a batch.
     bool add(double value) {
         newest_.add(value);
-        if (++in_run_ < length_) {
+        if (++in_batch_ < batch_size_) {
             return false;
         }
-        in_run_ = 0;
-        means_.add(present());
+        in_batch_ = 0;
+        means_.add(recent_mean());
         return true;
     }
-    bool ready() const {
+    bool has_batch() const {
         return !means_.empty();
     }
-    std::size_t fresh() const {
+    std::size_t recent_count() const {
         return newest_.size();
     }
-    double present() const {
+    double recent_mean() const {
         double sum = 0;
         for (const double value : newest_) {
             sum += value;
         }
         return newest_.empty() ? 0 : sum / static_cast<double>(newest_.size());
     }
-    double shortest() const {
+    double min_mean() const {
         return *std::min_element(means_.begin(), means_.end());
     }
 
   private:
     SlidingWindow<double> newest_;
     SlidingWindow<double> means_;
-    std::size_t length_;
-    std::size_t in_run_ = 0;
+    std::size_t batch_size_;
+    std::size_t in_batch_ = 0;
 };
 
 // Times of events, which come in order; `since` counts those at or after a time, `after` those
--- a/src/policy/settings_reader.hpp
+++ b/src/policy/settings_reader.hpp
@@ -14,21 +14,21 @@
     explicit SettingsReader(Settings settings) : settings_(std::move(settings)) {}
 
     // A required number between `least` and `most`.
-    double need(const std::string& name, double least = 0, double most = 1e9) const {
+    double required_number(const std::string& name, double min = 0, double max = 1e9) const {
         if (!settings_.contains(name)) {
             throw std::invalid_argument("missing term: " + name);
         }
-        return have(name, 0, least, most);
+        return number_or(name, 0, min, max);
     }
     // A number between `least` and `most`, or `otherwise` where it is not set.
-    double have(const std::string& name, double otherwise, double least = -1e18,
-                double most = 1e18) const {
-        const auto it = settings_.find(name);
-        if (it == settings_.end()) {
-            return otherwise;
+    double number_or(const std::string& name, double default_value, double min = -1e18,
+                     double max = 1e18) const {
+        const auto setting = settings_.find(name);
+        if (setting == settings_.end()) {
+            return default_value;
         }
-        const double* value = std::get_if<double>(&it->second);
-        if (!value || !(*value >= least && *value <= most)) {
+        const double* value = std::get_if<double>(&setting->second);
+        if (!value || !(*value >= min && *value <= max)) {
             throw std::invalid_argument("term out of range: " + name);
         }
         return *value;
@@ -37,21 +37,22 @@
         return settings_.contains(name);
     }
     // A boolean; false where it is not set.
-    bool allows(const std::string& name) const {
-        return have(name, 0) != 0;
+    bool is_enabled(const std::string& name) const {
+        return number_or(name, 0) != 0;
     }
     // A value out of `known`, by its name; required unless there is a default.
     template <class Value>
-    Value one_of(const std::string& name, const std::map<std::string, Value>& known,
-                 const std::optional<std::string>& otherwise = std::nullopt) const {
-        const auto it = settings_.find(name);
-        if (it == settings_.end() && !otherwise) {
+    Value one_of(const std::string& name, const std::map<std::string, Value>& choices,
+                 const std::optional<std::string>& default_value = std::nullopt) const {
+        const auto setting = settings_.find(name);
+        if (setting == settings_.end() && !default_value) {
             throw std::invalid_argument("missing term: " + name);
         }
-        const std::string* name_of_value =
-            it == settings_.end() ? &*otherwise : std::get_if<std::string>(&it->second);
-        const auto value = name_of_value ? known.find(*name_of_value) : known.end();
-        if (value == known.end()) {
+        const std::string* name_of_value = setting == settings_.end()
+                                               ? &*default_value
+                                               : std::get_if<std::string>(&setting->second);
+        const auto value = name_of_value ? choices.find(*name_of_value) : choices.end();
+        if (value == choices.end()) {
             throw std::invalid_argument("term out of range: " + name);
         }
         return value->second;
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -6,12 +6,12 @@
 namespace {
 
 // Of what would overload a cold endpoint: so much may come from all sidecars together.
-constexpr double kSafeFraction = 0.6;
+constexpr double kSafeOverloadFraction = 0.6;
 // Even shares of its present capacity that an endpoint on trial or cold gets first.
-constexpr double kInitialLoad = 1.7;
+constexpr double kInitialLoadMultiple = 1.7;
 constexpr Seconds kServedWindow = 10;  // stretch over which served requests are counted
 // Share of the slow start: answers of a younger endpoint are no evidence.
-constexpr double kEvidenceAge = 0.5;
+constexpr double kMinEvidenceAgeFraction = 0.5;
 
 }  // namespace
 
@@ -19,16 +19,17 @@
     served_.add(now, kServedWindow + settings_.window);
 }
 
-bool SlowStart::warming_up(const EndpointInfo& endpoint, Seconds now) const {
+bool SlowStart::is_warming_up(const EndpointInfo& endpoint, Seconds now) const {
     return endpoint.started > 0 && now - endpoint.started < settings_.duration;
 }
 
-bool SlowStart::too_young_for_evidence(const EndpointInfo& endpoint, Seconds now) const {
-    return endpoint.started > 0 && now - endpoint.started < kEvidenceAge * settings_.duration;
+bool SlowStart::is_too_young_for_evidence(const EndpointInfo& endpoint, Seconds now) const {
+    return endpoint.started > 0 &&
+           now - endpoint.started < kMinEvidenceAgeFraction * settings_.duration;
 }
 
 double SlowStart::capacity(const EndpointInfo& endpoint, Seconds now) const {
-    if (!warming_up(endpoint, now)) {
+    if (!is_warming_up(endpoint, now)) {
         return 1;
     }
     const double initial = settings_.initial_capacity;
@@ -38,23 +39,24 @@
 
 // Requests are counted, not weighed by work: light ones would always fit.
 double SlowStart::even_share(Seconds now, std::size_t endpoints) const {
-    const Seconds seen = std::clamp(now - started_at_, settings_.window, kServedWindow);
-    return served_.since(now - seen) / seen * settings_.window / static_cast<double>(endpoints);
+    const Seconds observed_time = std::clamp(now - started_at_, settings_.window, kServedWindow);
+    return served_.since(now - observed_time) / observed_time * settings_.window /
+           static_cast<double>(endpoints);
 }
 
 bool SlowStart::within_own_limit(SlowStartUsage& usage, const EndpointInfo& endpoint,
                                  double even_share, Seconds now, RandomSource& random) const {
-    const double multiple = kSafeFraction * settings_.overload_multiple;
-    return below(multiple, usage, endpoint, even_share, now, random);
+    const double multiple = kSafeOverloadFraction * settings_.overload_multiple;
+    return is_below_limit(multiple, usage, endpoint, even_share, now, random);
 }
 
 bool SlowStart::within_initial_load(SlowStartUsage& usage, const EndpointInfo& endpoint,
                                     double even_share, Seconds now, RandomSource& random) const {
-    return below(kInitialLoad, usage, endpoint, even_share, now, random);
+    return is_below_limit(kInitialLoadMultiple, usage, endpoint, even_share, now, random);
 }
 
-bool SlowStart::below(double multiple, SlowStartUsage& usage, const EndpointInfo& endpoint,
-                      double even_share, Seconds now, RandomSource& random) const {
+bool SlowStart::is_below_limit(double multiple, SlowStartUsage& usage, const EndpointInfo& endpoint,
+                               double even_share, Seconds now, RandomSource& random) const {
     const double rounding = usage.rounding.value(now, settings_.window, random);
     const double sent = usage.sent.since(now - settings_.window);
     // About one request from all sidecars together is safe even if nothing else is known.
@@ -64,8 +66,9 @@
     return sent + 1 <= multiple * capacity(endpoint, now) * even_share + rounding;
 }
 
-bool SlowStart::within_quota(const SlowStartUsage& usage, Seconds now) const {
-    return now >= usage.quota_until || usage.sent.since(now - settings_.window) + 1 <= usage.quota;
+bool SlowStart::within_grant(const SlowStartUsage& usage, Seconds now) const {
+    return now >= usage.granted_until ||
+           usage.sent.since(now - settings_.window) + 1 <= usage.granted_attempts;
 }
 
 void SlowStart::attempt_sent(SlowStartUsage& usage, Seconds now) const {
--- a/src/policy/slow_start.hpp
+++ b/src/policy/slow_start.hpp
@@ -15,14 +15,14 @@
 
 // The slow start state of one endpoint.
 struct SlowStartUsage {
-    EventWindow sent;   // attempts in the window of the rule
-    HeldDraw rounding;  // rounds a share below one request
-    double quota = 0;   // attempts in a window, granted by the coordinator
-    Seconds quota_until = kNever;
+    EventWindow sent;             // attempts in the window of the rule
+    HeldDraw rounding;            // rounds a share below one request
+    double granted_attempts = 0;  // attempts in a window, granted by the coordinator
+    Seconds granted_until = kNever;
 
     void grant(double attempts, Seconds until) {
-        quota = attempts;
-        quota_until = until;
+        granted_attempts = attempts;
+        granted_until = until;
     }
 };
 
@@ -33,9 +33,9 @@
 
     void request_served(Seconds now);
 
-    bool warming_up(const EndpointInfo& endpoint, Seconds now) const;
+    bool is_warming_up(const EndpointInfo& endpoint, Seconds now) const;
     // Too young for its answers to be evidence on its build.
-    bool too_young_for_evidence(const EndpointInfo& endpoint, Seconds now) const;
+    bool is_too_young_for_evidence(const EndpointInfo& endpoint, Seconds now) const;
     // Share of the full capacity that the endpoint has by now, at least.
     double capacity(const EndpointInfo& endpoint, Seconds now) const;
 
@@ -48,12 +48,12 @@
     bool within_initial_load(SlowStartUsage& usage, const EndpointInfo& endpoint, double even_share,
                              Seconds now, RandomSource& random) const;
     // Whether the coordinator's grant has room. Without a valid grant the own rule holds alone.
-    bool within_quota(const SlowStartUsage& usage, Seconds now) const;
+    bool within_grant(const SlowStartUsage& usage, Seconds now) const;
     void attempt_sent(SlowStartUsage& usage, Seconds now) const;
 
   private:
-    bool below(double multiple, SlowStartUsage& usage, const EndpointInfo& endpoint,
-               double even_share, Seconds now, RandomSource& random) const;
+    bool is_below_limit(double multiple, SlowStartUsage& usage, const EndpointInfo& endpoint,
+                        double even_share, Seconds now, RandomSource& random) const;
 
     const SlowStartSettings& settings_;
     const double sidecars_;
--- a/src/policy/tick_timer.hpp
+++ b/src/policy/tick_timer.hpp
@@ -18,11 +18,11 @@
             return;
         }
         next_tick_ = now + delay;
-        host_.set_timer(delay, kTimer);
+        host_.set_timer(delay, kTickTimerId);
     }
     // Whether the timer that fired is the awaited tick.
     bool is_tick(Seconds now, TimerId timer) const {
-        return timer == kTimer && now >= next_tick_ - kEarlyBy;
+        return timer == kTickTimerId && now >= next_tick_ - kTimerTolerance;
     }
     // After a tick was served: sets the next one.
     void restart(Seconds now, Seconds delay) {
@@ -31,8 +31,8 @@
     }
 
   private:
-    static constexpr TimerId kTimer{1};
-    static constexpr Seconds kEarlyBy = kTickInterval / 4;  // rounding of the host's timers
+    static constexpr TimerId kTickTimerId{1};
+    static constexpr Seconds kTimerTolerance = kTickInterval / 4;  // rounding of the host's timers
 
     Host& host_;
     Seconds next_tick_ = kNever;
