--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -7,13 +7,15 @@
 namespace tideline {
 namespace {
 
-constexpr double kMaxWaitSloShare = 0.35;  // of the SLO time, for a first attempt
+constexpr double kMaxWaitSloShare = 0.35;  // of the SLO time, before the first attempt
 constexpr Seconds kDeadlineMargin = 2 * kTickInterval;
-constexpr double kQuotaTolerance = 1.25;  // multiple of a tenant's share, and requests beyond it
+// A tenant exceeds its quota beyond this multiple of its share, plus this many requests.
+constexpr double kQuotaTolerance = 1.25;
 constexpr Seconds kQuotaWindow = 5;
 constexpr Seconds kServiceRateWindow = 3;
-constexpr double kMinRetryAfterShare = 0.5;  // share of the longest advice; scattered from here up
-constexpr Seconds kMinWork = 1e-6;           // keeps the quotient finite
+// Jitter draws the advice between this share of the longest advice and all of it.
+constexpr double kMinRetryAfterShare = 0.5;
+constexpr Seconds kMinWork = 1e-6;  // keeps the quotient finite
 
 }  // namespace
 
@@ -47,7 +49,8 @@
     return AdmissionDecision::admitted();
 }
 
-// What is queued here while this process is paused is answered too late.
+// A request that is queued while this process is paused is answered too late, and after a recent
+// pause another may follow.
 AdmissionDecision Admission::decide_queueing(Seconds now) const {
     return pauses_.recently_paused(now) ? AdmissionDecision::rejected(RejectionReason::paused)
                                         : AdmissionDecision::admitted();
--- a/src/policy/admission.hpp
+++ b/src/policy/admission.hpp
@@ -1,4 +1,5 @@
-// Admission control: which requests are sent or queued, and which are rejected and for what reason.
+// Admission control: decides which requests are sent or queued, and which are rejected and for what
+// reason.
 #pragma once
 
 #include <map>
@@ -16,7 +17,7 @@
 
 namespace tideline {
 
-// Admitted, or rejected for a reason.
+// The result of an admission check: admitted, or rejected for a reason.
 class AdmissionDecision {
   public:
     static AdmissionDecision admitted() {
@@ -51,18 +52,20 @@
     void request_served(Seconds now);
     void attempt_ended(const Request& request, Outcome outcome, Seconds now);
 
-    // Before an endpoint is chosen.
+    // Decides whether a request is admitted at all, before an endpoint is picked.
     AdmissionDecision decide(Seconds now, const Request& request, const RequestTable& requests);
-    // Whether this process may queue requests at all.
+    // Decides whether this process may queue requests now.
     AdmissionDecision decide_queueing(Seconds now) const;
-    // Whether the queue ahead of the request leaves it enough time.
+    // Decides whether the queue ahead of the request leaves it enough time.
     AdmissionDecision decide_wait(Seconds now, const Request& request,
                                   const RequestTable& requests) const;
-    // The latest time at which sending may still bring an answer within the SLO time.
+    // The latest time at which an attempt may still bring an answer within the SLO time.
     Seconds latest_useful_send(const Request& request) const;
-    // What the request earns for its work; under pressure the most valuable goes first.
+    // The value of the request per unit of work. Under pressure the most valuable request is sent
+    // first.
     double value(const Request& request) const;
-    // Advice to the client of a rejected request; scattered, so that clients don't come together.
+    // When the client of a rejected request should retry; with jitter, so that clients don't retry
+    // all at once.
     Seconds retry_after();
 
   private:
--- a/src/policy/ballots.cpp
+++ b/src/policy/ballots.cpp
@@ -3,12 +3,13 @@
 namespace tideline {
 namespace {
 
-constexpr Seconds kMaxHoldDuration = 2;  // in each stage
-// Share of a vote's lifetime after which it is renewed: scattered, with time for a second try.
+constexpr Seconds kMaxHoldDuration = 2;  // per stage
+// A vote is renewed after a fraction of its lifetime that is drawn between these bounds, which
+// leaves time for a retry.
 constexpr double kMinRenewFraction = 0.72;
 constexpr double kMaxRenewFraction = 0.9;
-constexpr Seconds kRetryDelay = 0.3;  // after a vote that failed
-// Factors of the retry delay between which it is scattered.
+constexpr Seconds kRetryDelay = 0.3;  // before a vote that failed is sent again
+// Bounds of the random factor of the retry delay.
 constexpr double kMinRetryJitterFactor = 0.5;
 constexpr double kMaxRetryJitterFactor = 1.5;
 
@@ -38,7 +39,8 @@
     return sent_;
 }
 
-// Without a judged release, or once the participation is restricted, no vote moves it on.
+// A marked build gets a back vote in any case. Once the build is released, or while the
+// participation is restricted, no vote moves it to the next stage.
 Vote Ballots::wanted_vote(Seconds now) const {
     if (judge_.has_marks()) {
         return Vote::back;
@@ -60,7 +62,8 @@
     return Vote::on;
 }
 
-// A vote goes out when it differs from the counted one, and again when that is due for renewal.
+// A vote is sent when it differs from the one that was counted, and again when that one is due for
+// renewal.
 bool Ballots::is_due(Seconds now, Vote vote) const {
     const ReleaseStatus& status = *release_.status();
     const bool same_build = sent_.build == status.build;
--- a/src/policy/ballots.hpp
+++ b/src/policy/ballots.hpp
@@ -1,5 +1,5 @@
-// The votes of this sidecar on the build on trial: which one is wanted, when it is sent, repeated
-// after an error, and renewed before it lapses.
+// Decides on this sidecar's votes on the build on trial: which vote is wanted, and when it is sent,
+// sent again after an error, and renewed before it expires.
 #pragma once
 
 #include <optional>
@@ -24,7 +24,7 @@
             RandomSource& random)
         : settings_(settings), release_(release), judge_(judge), random_(random) {}
 
-    // The vote to send now, if any. At most one is in flight.
+    // Returns the vote to send now, if any. At most one vote is in flight.
     std::optional<Ballot> next_ballot(Seconds now);
     void vote_answered(Seconds now, VoteReply reply);
 
--- a/src/policy/concurrency_limit.cpp
+++ b/src/policy/concurrency_limit.cpp
@@ -5,18 +5,18 @@
 namespace tideline {
 namespace {
 
-constexpr std::size_t kBatchSize = 6;    // answers whose mean is a response time
-constexpr std::size_t kMaxBatches = 40;  // enough to remember the shortest time through a jam
-constexpr double kInitialLimit = 4;      // attempts, at an endpoint of which nothing is known
-constexpr double kMinLimit = 1;          // attempts, so that the endpoint still shows how it does
-// The limit falls once the present time exceeds this multiple of the shortest.
+constexpr std::size_t kBatchSize = 6;    // answers averaged into one response time
+constexpr std::size_t kMaxBatches = 40;  // enough to remember the shortest time during congestion
+constexpr double kInitialLimit = 4;      // attempts at an endpoint of which nothing is known
+constexpr double kMinLimit = 1;          // attempts; enough to go on measuring response times
+// The limit falls once the recent response time exceeds this multiple of the shortest one.
 constexpr double kConcurrencyHeadroom = 2;
-// Bounds of the shortest relative time: the least of many short runs is far below any usual time,
-// and one measured during a jam is far above.
+// Bounds of the shortest relative time. The minimum over many short batches is far below the usual
+// time, and a minimum measured during congestion is far above it.
 constexpr double kMinShortestTime = 0.8;
 constexpr double kMaxShortestTime = 1.25;
-constexpr double kMinDecreaseFactor = 0.5;  // factor of one run
-constexpr double kMinRelativeTime = 1e-9;   // relative; keeps the quotient finite
+constexpr double kMinDecreaseFactor = 0.5;  // the strongest decrease after one batch
+constexpr double kMinRelativeTime = 1e-9;   // keeps the quotient finite
 
 }  // namespace
 
--- a/src/policy/concurrency_limit.hpp
+++ b/src/policy/concurrency_limit.hpp
@@ -1,6 +1,7 @@
-// How many own attempts may be in flight at one endpoint. The limit follows the response times: it
-// falls while they are longer than when the endpoint is idle, and grows by one while it is used.
-// Response times are relative to the shortest of their request class.
+// Limits this sidecar's attempts in flight at one endpoint. The limit follows the response times:
+// it falls while they are longer than at an idle endpoint, and otherwise grows by one per batch of
+// answers while it is in use. Response times are relative to the shortest one of their request
+// class.
 #pragma once
 
 #include "policy/samples.hpp"
@@ -16,7 +17,7 @@
     double limit() const {
         return limit_;
     }
-    // Answers in the newest run, and their mean relative response time.
+    // The number of recent answers, and their mean relative response time.
     std::size_t recent_answers() const {
         return times_.recent_count();
     }
--- a/src/policy/discovery_backoff.hpp
+++ b/src/policy/discovery_backoff.hpp
@@ -1,6 +1,7 @@
-// When the discovery service is called for the endpoint list: at the start, after a watch was lost,
-// and after a call failed. Exponential backoff with jitter, spread over what a fleet of this size
-// may ask together. No I/O, no clock, no draws of its own.
+// Decides how long to wait before the discovery service is called for the endpoint list: at the
+// start, after a watch was lost, and after a call failed. Uses exponential backoff with jitter,
+// spread so that a fleet of this size does not overload the service. Does no I/O, reads no clock
+// and draws no random numbers.
 #pragma once
 
 #include "policy/types.hpp"
@@ -9,19 +10,19 @@
 
 class DiscoveryBackoff {
   public:
-    // Bounds between which the wait is to be drawn, evenly distributed.
+    // Bounds of the wait, which the caller draws from a uniform distribution.
     struct Wait {
         Seconds min = 0;
         Seconds max = 0;
     };
-    // `sidecars`: how many use the discovery service, this one included.
+    // `sidecars`: the number of sidecars that use the discovery service, this one included.
     explicit DiscoveryBackoff(double sidecars) : sidecars_(sidecars) {}
 
-    // Before the first call of a process.
+    // The wait before the first call of a process.
     Wait process_started() const;
     void call_answered();
-    // `watched`: a watch has worked since the start. The first loss after that is as a rule this
-    // sidecar's alone.
+    // The wait before the next call. `watched`: a watch has worked since the start. The first loss
+    // after that usually concerns this sidecar alone.
     Wait call_failed(WatchLoss loss, bool watched);
 
   private:
@@ -32,8 +33,8 @@
     Wait wait_after_unreachable();
 
     const double sidecars_;
-    int refused_calls_ = 0;      // calls in a row that reached the service, or may have
-    int unreachable_calls_ = 0;  // calls in a row that did not
+    int refused_calls_ = 0;      // failed calls in a row that may have reached the service
+    int unreachable_calls_ = 0;  // failed calls in a row that did not reach it
 };
 
 }  // namespace tideline
--- a/src/policy/endpoint.hpp
+++ b/src/policy/endpoint.hpp
@@ -1,4 +1,4 @@
-// What this sidecar knows of one endpoint.
+// What this sidecar knows about one endpoint.
 #pragma once
 
 #include <algorithm>
@@ -11,8 +11,8 @@
 namespace tideline {
 
 struct Endpoint {
-    EndpointInfo info;  // as last listed
-    int in_flight = 0;  // own attempts
+    EndpointInfo info;  // as in the latest endpoint list
+    int in_flight = 0;  // attempts of this sidecar
     OutlierEjection health;
     ConcurrencyLimit concurrency;
     SlowStartUsage slow_start;
--- a/src/policy/endpoint_discovery.hpp
+++ b/src/policy/endpoint_discovery.hpp
@@ -1,4 +1,4 @@
-// The watch of the endpoint list: when it is opened, what it confirms, and whether the list is
+// The watch on the endpoint list: when it is opened, what it confirms, and whether the list is
 // still valid.
 #pragma once
 
@@ -16,10 +16,10 @@
     EndpointDiscovery(const PolicySettings& settings, RandomSource& random)
         : freshness_(settings.list_bounds), backoff_(settings.sidecars), random_(random) {}
 
-    // At the start of a process that has to open the watch itself.
+    // To be called at the start of a process that has to open the watch itself.
     void process_started(Seconds now);
-    // A list, or a change of it, was read. A list may hold what can't be read, or come from a
-    // discovery service that was left, so it confirms nothing by itself: confirmed() does.
+    // A list, or a change of it, was read. It may be unreadable in part, or come from a discovery
+    // service that is no longer used, so only confirmed() confirms it.
     void list_read(EndpointListKind kind);
     void confirmed(Seconds as_of);
     void change_unreadable(Seconds since) {
@@ -28,13 +28,14 @@
     void service_moved(Seconds since) {
         freshness_.service_moved(since);
     }
-    // Without a watch this sidecar counts as notified of changes that it never saw, so the watch
-    // is opened again. The list is not fetched beside it: the watch starts with what was missed,
-    // and a second call would keep other sidecars from getting through.
+    // Schedules the next watch. Without one this sidecar counts as notified of changes that it
+    // never saw. The list is not fetched separately: the watch begins with the changes missed, and
+    // a second call would keep other sidecars from getting through.
     void watch_lost(Seconds now, Seconds since, WatchLoss loss);
 
-    // Whether the watch is to be opened now; true once for each time.
+    // Whether the watch is to be opened now; returns true once for each scheduled watch.
     bool take_watch_due(Seconds now);
+    // Reports each change of the validity of the list once.
     ListValidityChange check_validity(Seconds now);
     const EndpointListFreshness& freshness() const {
         return freshness_;
@@ -45,7 +46,7 @@
     DiscoveryBackoff backoff_;
     RandomSource& random_;
     Seconds watch_at_ = kNever;
-    bool expired_ = false;  // when last checked
+    bool expired_ = false;  // as of the last check
 };
 
 }  // namespace tideline
--- a/src/policy/endpoint_list_freshness.cpp
+++ b/src/policy/endpoint_list_freshness.cpp
@@ -8,8 +8,8 @@
 // A process may be delayed for 0.15 s between reading the clock and writing to an endpoint; the
 // rest is for the network.
 constexpr Seconds kMaxSendDelay = 0.2;
-// A discovery service with many watches may send a change this much later than a heartbeat that it
-// wrote before.
+// A discovery service with many watches may send a change this long after a heartbeat that it sent
+// when it already had the change.
 constexpr Seconds kMaxNotificationLag = 0.4;
 
 }  // namespace
@@ -25,7 +25,7 @@
     if (loss == WatchLoss::unreadable) {
         change_unreadable(since);
     }
-    // A silent watch does not mean that there is a change to be notified.
+    // Silence of the watch does not mean that there is a change to be notified.
     if (bounds_.pushed && loss != WatchLoss::silent && !pushed_lost_at_) {
         pushed_lost_at_ = since;
     }
@@ -47,8 +47,8 @@
     if (bounds_.notified_within == kUnbounded) {
         return kUnbounded;
     }
-    // The age of the cached list that a process starts with is unknown. A change that it lacks may
-    // have counted as notified to the process before, longer ago than the grace.
+    // The age of the cached list at the start of a process is unknown. A change missing from it may
+    // have counted as notified to the previous process longer ago than the grace.
     if (!confirmed_at_) {
         return -kUnbounded;
     }
--- a/src/policy/endpoint_set.cpp
+++ b/src/policy/endpoint_set.cpp
@@ -6,7 +6,8 @@
 namespace tideline {
 namespace {
 
-// A removed endpoint is forgotten so long after its last answer; ids of a long day never end.
+// A removed endpoint is forgotten this long after its last answer, because new ids keep appearing
+// and the set would grow without limit.
 constexpr Seconds kRemovedEndpointRetention = 10;
 
 }  // namespace
--- a/src/policy/endpoint_set.hpp
+++ b/src/policy/endpoint_set.hpp
@@ -1,4 +1,4 @@
-// The endpoints that discovery listed, each with what this sidecar knows of it.
+// The endpoints listed by discovery, each with what this sidecar knows about it.
 #pragma once
 
 #include <cstddef>
@@ -12,24 +12,24 @@
 
 class EndpointSet {
   public:
-    // Takes over a list, or changes of it. Knowledge of an endpoint is dropped where its id comes
-    // back with another start time or another build.
+    // Applies a list, or changes of it. What is known about an endpoint is dropped if its id comes
+    // back with another start time or build.
     void update(Seconds now, EndpointListKind kind, const std::vector<EndpointInfo>& infos);
 
-    // Null where the id is not listed.
+    // Returns null if the id is unknown.
     Endpoint* find(const EndpointId& id);
-    // An endpoint that was removed meanwhile is entered again: attempts at it may still end.
+    // Adds an endpoint again that was removed meanwhile, since attempts at it may still end.
     Endpoint& find_or_add(const EndpointId& id) {
         return endpoints_[id];
     }
     Seconds started_at(const EndpointId& id) const;
     bool lists_older_build_than(Build build) const;
-    // The most endpoints ever listed as ready at once.
+    // The largest number of endpoints ever listed as ready at once.
     std::size_t max_ready_count() const {
         return max_ready_count_;
     }
 
-    // In the order of the ids.
+    // Iterates in the order of the ids.
     auto begin() {
         return endpoints_.begin();
     }
--- a/src/policy/exposure_cap.cpp
+++ b/src/policy/exposure_cap.cpp
@@ -5,8 +5,9 @@
 namespace tideline {
 namespace {
 
-// Of the cap's share, the part by which the allowance may exceed it. The allowances of hundreds of
-// sidecars add up to far more than the few endpoints on trial can serve.
+// The allowance may exceed the share that the cap gives by at most this fraction of it. The
+// allowances of hundreds of sidecars would add up to far more than the few endpoints on trial can
+// serve.
 constexpr double kMaxAllowanceFraction = 0.2;
 
 }  // namespace
@@ -56,7 +57,8 @@
     return is_below ? ExposureDecision::allowed : ExposureDecision::cap_reached;
 }
 
-// A restart forgets what was sent before, so the allowance is not used for one window after it.
+// After a restart of this process it is unknown what was sent before, so the allowance is not used
+// for one window.
 bool ExposureCap::is_below_cap(Seconds now, RequestClass counted, Build build, double cap) {
     const Seconds window = settings_.release.exposure_window;
     const Seconds counted_from = std::max(now - window, release_.exposure_counted_from());
--- a/src/policy/exposure_cap.hpp
+++ b/src/policy/exposure_cap.hpp
@@ -1,5 +1,5 @@
-// How many requests a build on trial may get: no more than the cap of its stage, in each window,
-// and with one-way keys none that would send a key back to an older build.
+// Limits the requests that a build on trial gets: in each window no more than the cap of its stage.
+// With one-way keys, a key that a newer build has answered never goes back to an older one.
 #pragma once
 
 #include <map>
@@ -15,7 +15,7 @@
 
 enum class ExposureDecision {
     allowed,
-    one_way_key,    // a newer build answered this key already
+    one_way_key,    // a newer build has already answered this key
     no_exposure,    // the cap is 0
     guarded_stage,  // this stage gets idempotent requests only
     cap_reached,
@@ -39,8 +39,9 @@
     ExposureDecision decide(Seconds now, const Request& request, Build build);
     // Without a release status all builds but the oldest listed count as on trial.
     bool is_on_trial(Build build) const;
+    // Whether the build is on trial and its cap is 0.
     bool is_closed(Build build) const;
-    // Whether an attempt sent at `sent` may not start any more, as the cap fell since.
+    // Whether an attempt sent at `sent` may no longer start because the cap was lowered since.
     bool recalls(Build build, Seconds sent) const;
 
   private:
@@ -51,7 +52,8 @@
     };
 
     double cap_of(Build build) const;
-    // Where the cap holds for all request classes together they are counted as one.
+    // The class that a request counts towards. If the cap holds for all request classes together,
+    // they are counted as one.
     RequestClass counting_class(RequestClass request_class) const;
     bool key_answered_by_newer(const Request& request, Build build) const;
     bool is_below_cap(Seconds now, RequestClass counted, Build build, double cap);
@@ -63,8 +65,10 @@
     const Seconds started_at_;
     std::map<RequestClass, EventWindow> received_;
     std::map<ExposureKey, EventWindow> exposed_;
-    std::map<RequestClass, HeldDraw> rounding_;  // of the last request of the cap's share
-    std::map<ObjectKey, Build> answered_by_;     // keys that a build on trial has answered
+    // Random rounding of a cap's share that is not a whole number of requests, drawn once per
+    // window.
+    std::map<RequestClass, HeldDraw> rounding_;
+    std::map<ObjectKey, Build> answered_by_;  // builds that answered the keys
 };
 
 }  // namespace tideline
--- a/src/policy/load_balancer.cpp
+++ b/src/policy/load_balancer.cpp
@@ -6,20 +6,22 @@
 namespace tideline {
 namespace {
 
-constexpr Seconds kAnswerLifetime = 10;  // older answers tell nothing of an endpoint
-// What all endpoints take counts as so many answers of each one.
+constexpr Seconds kAnswerLifetime = 10;  // older answers say nothing about an endpoint
+// The overall response time counts like this many answers of each endpoint.
 constexpr double kPriorAnswerCount = 3;
-constexpr double kCrossLocationFactor = 1.3;  // of the cost, where crossing has a price
-constexpr double kMinRelativeTime = 0.2;      // relative response time
+// Cost factor of an endpoint at another location, if crossing locations has a price.
+constexpr double kCrossLocationFactor = 1.3;
+constexpr double kMinRelativeTime = 0.2;
 constexpr double kMinWeight = 1e-3;
 constexpr double kMinDraw = 1e-9;  // keeps the logarithm finite
 
 }  // namespace
 
 // The build on trial comes first while its cap has room, then the earlier build. The cap is larger
-// than the share of the fleet on trial: sent all that the rules allow, these endpoints would jam
-// and the build would look bad. So an endpoint on trial or cold comes first only up to a little
-// over an even share. An endpoint that this request was already sent to is the last selection.
+// than the trial's share of the fleet: if all requests that the rules allow were sent to them, the
+// endpoints on trial would be overloaded and the build would look bad. So an endpoint on trial or
+// cold is preferred only up to a little over an even share. An endpoint that this request was
+// already sent to comes last.
 Endpoint* LoadBalancer::pick(Seconds now, const Request& request) {
     Selection selection{now, request, {}, std::nullopt};
     Endpoint* best = nullptr;
@@ -93,9 +95,9 @@
     return trial && selection.request.attempts.empty() ? Preference::trial : Preference::normal;
 }
 
-// What other sidecars have in flight at an endpoint is not known. A draw from an exponential
-// distribution of mean 1 stands for it, so that sidecars with nothing in flight don't all turn to
-// the same endpoint but spread by what the endpoints can do.
+// The attempts that other sidecars have in flight at an endpoint are not known. A draw from an
+// exponential distribution with mean 1 stands for them, so that sidecars with nothing in flight
+// don't all pick the same endpoint but spread over the endpoints by their capacity.
 double LoadBalancer::cost(Seconds now, const Endpoint& endpoint, double in_flight_elsewhere) const {
     const EndpointInfo& info = endpoint.info;
     const bool is_remote =
@@ -108,8 +110,9 @@
     return load * time * time * location_factor / weighted_capacity;
 }
 
-// Relative response time at present. A sidecar that sees an endpoint seldom would stay with the one
-// whose single answer was quickest, so few or old answers are mixed with what all endpoints take.
+// The relative response time to expect. A sidecar with little traffic would stay with the endpoint
+// whose single answer was fastest, so few or old answers are averaged with the overall response
+// time.
 double LoadBalancer::expected_time(Seconds now, const Endpoint& endpoint) const {
     const double overall_time =
         inputs_.response_times.empty() ? 1 : inputs_.response_times.recent_relative();
@@ -120,7 +123,7 @@
            (answers + kPriorAnswerCount);
 }
 
-// A process that has just started waits for its first list, which may be there in time.
+// A process that has just started waits for its first list, which may arrive in time.
 bool LoadBalancer::has_possible_endpoint(Seconds now, const Request& request) const {
     const bool first_list_read = inputs_.freshness.confirmed_at().has_value();
     return std::any_of(inputs_.endpoints.begin(), inputs_.endpoints.end(), [&](const auto& entry) {
@@ -132,9 +135,9 @@
     });
 }
 
-// A list that can't be confirmed loses its validity: an endpoint that it calls ready gets nothing
-// new once its removal would count as notified for longer than the grace. That the endpoint still
-// accepts work shows nothing, since draining endpoints do so for seconds.
+// A list that can't be confirmed loses its validity: an endpoint that it lists as ready gets no new
+// attempts once its removal would count as notified for longer than the grace. That the endpoint
+// still accepts requests proves nothing, since draining endpoints do so for seconds.
 bool LoadBalancer::is_known_ready(Seconds now, const Endpoint& endpoint) const {
     return endpoint.info.state == EndpointState::ready && !inputs_.freshness.expired(now);
 }
--- a/src/policy/load_balancer.hpp
+++ b/src/policy/load_balancer.hpp
@@ -1,4 +1,4 @@
-// Chooses the endpoint of an attempt: the cheapest of those that the rules allow.
+// Picks the endpoint for an attempt: the one with the lowest cost among those that the rules allow.
 #pragma once
 
 #include <map>
@@ -31,22 +31,22 @@
   public:
     explicit LoadBalancer(const LoadBalancerInputs& inputs) : inputs_(inputs) {}
 
-    // Null where no endpoint may take the request now.
+    // Returns null if no endpoint may take the request now.
     Endpoint* pick(Seconds now, const Request& request);
-    // Whether some listed endpoint could take the request once it has room.
+    // Whether some listed endpoint could take the request once it has capacity.
     bool has_possible_endpoint(Seconds now, const Request& request) const;
-    // Whether the list still says with certainty that the endpoint is ready.
+    // Whether the endpoint is listed as ready and the list is still valid.
     bool is_known_ready(Seconds now, const Endpoint& endpoint) const;
 
   private:
-    // In order of preference.
+    // In order of preference, the most preferred first.
     enum class Preference { trial, normal, beyond_initial_load, attempted_before };
     struct CandidateRank {
         Preference preference = Preference::normal;
         double cost = 0;
         auto operator<=>(const CandidateRank&) const = default;
     };
-    // What one selection computes at most once.
+    // Values that one selection computes at most once.
     struct Selection {
         Seconds now;
         const Request& request;
--- a/src/policy/load_shedder.cpp
+++ b/src/policy/load_shedder.cpp
@@ -5,11 +5,12 @@
 namespace tideline {
 namespace {
 
-constexpr double kSmallDecreaseFactor = 0.8;    // factor after a rejection or an answer just late
-constexpr double kMinDecreaseFactor = 0.5;      // factor after an answer that was very late
-constexpr double kShareIncrease = 0.2;          // added by an answer in time
-constexpr double kMinSentShare = 0.1;           // so that the end of a jam still shows
-constexpr double kCongestedRelativeTime = 2.5;  // half of the answers take this multiple: a jam
+constexpr double kSmallDecreaseFactor = 0.8;  // after a rejection or a slightly late answer
+constexpr double kMinDecreaseFactor = 0.5;    // after a very late answer
+constexpr double kShareIncrease = 0.2;        // after an answer in time
+constexpr double kMinSentShare = 0.1;         // so that the end of an overload is noticed
+// The median relative response time above which the endpoints count as congested.
+constexpr double kCongestedRelativeTime = 2.5;
 
 }  // namespace
 
--- a/src/policy/load_shedder.hpp
+++ b/src/policy/load_shedder.hpp
@@ -1,5 +1,5 @@
 // Sheds a share of the requests while answers come late. With hundreds of sidecars no concurrency
-// limit binds, and a jam would feed itself by second attempts.
+// limit is reached, and retries would keep an overload going.
 #pragma once
 
 #include "policy/random_source.hpp"
@@ -9,7 +9,7 @@
 
 class LoadShedder {
   public:
-    // `relative_time`: what answers of all endpoints take at present, over the shortest time.
+    // `relative_time`: the recent response time of all endpoints as a multiple of the shortest one.
     void attempt_ended(Outcome outcome, Seconds since_received, Seconds slo_time,
                        double relative_time);
     bool sheds(RandomSource& random) const {
@@ -20,7 +20,7 @@
     }
 
   private:
-    double sent_share_ = 1;  // of the requests, that is sent on
+    double sent_share_ = 1;  // share of the requests that is not shed
 };
 
 }  // namespace tideline
--- a/src/policy/outlier_ejection.cpp
+++ b/src/policy/outlier_ejection.cpp
@@ -6,11 +6,12 @@
 namespace {
 
 constexpr Seconds kInitialEjectionDuration = 0.5;
-constexpr Seconds kMaxEjectionDuration = 6;  // about as late as lists tell that an endpoint is gone
+// About the delay until endpoint lists show that an endpoint is gone.
+constexpr Seconds kMaxEjectionDuration = 6;
 constexpr Seconds kOverloadEjectionDuration = 0.1;  // after the endpoint rejected an attempt
-constexpr int kEjectionFailureThreshold = 5;        // in a row; that many are no matter of chance
-constexpr double kExpectedLoggingSidecars = 8;      // of the fleet, on average, log an ejection
-constexpr double kMinJitterFactor = 0.75;  // factors between which an ejection is scattered
+constexpr int kEjectionFailureThreshold = 5;        // in a row; too many to be due to chance
+constexpr double kExpectedLoggingSidecars = 8;      // of the fleet, on average per ejection
+constexpr double kMinJitterFactor = 0.75;           // bounds of the random factor of a duration
 constexpr double kMaxJitterFactor = 1.25;
 
 }  // namespace
--- a/src/policy/outlier_ejection.hpp
+++ b/src/policy/outlier_ejection.hpp
@@ -1,5 +1,6 @@
-// Health of one endpoint. An endpoint that fails is ejected for a time that doubles; after that a
-// health check, where these are allowed, and then a single attempt decide whether it is back.
+// Tracks the health of one endpoint. An endpoint that fails is ejected for a time that doubles with
+// each ejection. After that a health check, where these are allowed, and then a single attempt
+// decide whether it is healthy again.
 #pragma once
 
 #include "policy/random_source.hpp"
@@ -19,22 +20,24 @@
 // What to do about an endpoint whose ejection is over.
 enum class RecoveryStep { none, send_health_check };
 
-// Whether an ejection is to be logged. All sidecars see the same, so only some log it.
+// Whether an ejection is to be logged. All sidecars see the same failures, so only some of them log
+// it.
 enum class EjectionLog { skip, write };
 
 class OutlierEjection {
   public:
-    // An attempt succeeded.
     void attempt_succeeded(Seconds now);
-    // The endpoint began to answer; its result is not known yet.
+    // The endpoint began to answer; the outcome of the attempt is not known yet.
     void response_started(Seconds now);
-    // An attempt failed. Returns whether so many failed in a row that it has to be ejected. Work
-    // that fails at once makes an endpoint look idle and draws all requests to it.
+    // An attempt failed. Returns whether so many failed in a row that the endpoint has to be
+    // ejected: an endpoint that fails requests at once looks idle and would attract all of them.
     bool attempt_failed(Seconds now);
-    // The endpoint rejected an attempt: it gets none for a moment.
+    // The endpoint rejected an attempt as overloaded; it gets no attempts for a moment.
     void attempt_rejected(Seconds now, RandomSource& random);
+    // Ejects the endpoint, unless it is already ejected.
     EjectionLog eject(Seconds now, double sidecars, RandomSource& random);
 
+    // To be called at each tick while the endpoint is listed as ready.
     RecoveryStep next_recovery_step(Seconds now, bool health_checks_allowed);
     bool awaits_health_check() const {
         return health_check_sent_;
@@ -46,7 +49,7 @@
     bool is_ejected(Seconds now) const {
         return now < ejected_until_ || (ejection_duration_ > 0 && !single_attempt_only_);
     }
-    // Back from an ejection: one attempt at a time until it answers.
+    // After an ejection the endpoint gets one attempt at a time until it answers.
     bool allows_single_attempt_only() const {
         return single_attempt_only_;
     }
--- a/src/policy/pause_detector.hpp
+++ b/src/policy/pause_detector.hpp
@@ -1,5 +1,5 @@
-// Notices that this process was paused: it heard nothing, not even its own ticks, for a while. What
-// timed out meanwhile says nothing of the endpoints.
+// Detects that this process was paused: it got no events, not even its own ticks, for a while.
+// Time-outs during a pause say nothing about the endpoints.
 #pragma once
 
 #include "policy/types.hpp"
@@ -20,13 +20,14 @@
     bool paused_since(Seconds time) const {
         return resumed_at_ >= time;
     }
-    // Soon after a pause another may follow; what is queued here would then be answered late.
+    // Whether a pause was so recent that another may follow; requests queued here would then be
+    // answered late.
     bool recently_paused(Seconds now) const {
         return now < resumed_at_ + kRecentPauseWindow;
     }
 
   private:
-    static constexpr Seconds kMaxEventGap = 0.6;  // many ticks
+    static constexpr Seconds kMaxEventGap = 0.6;  // many tick intervals
     static constexpr Seconds kRecentPauseWindow = 10;
 
     Seconds last_event_;
--- a/src/policy/policy_modules.hpp
+++ b/src/policy/policy_modules.hpp
@@ -19,7 +19,7 @@
 
 namespace tideline {
 
-// Members refer to each other, so an object stays where it was made.
+// Members hold references to each other, so objects can't be copied or moved.
 struct PolicyModules {
     PolicyModules(Host& policy_host, const Settings& raw_settings, std::uint64_t seed, Seconds now)
         : host(policy_host),
--- a/src/policy/policy_settings.cpp
+++ b/src/policy/policy_settings.cpp
@@ -8,7 +8,8 @@
 namespace tideline {
 namespace {
 
-// Of the evidence that one back vote needs: a single failure is the least that shows anything.
+// The smallest evidence fraction of a back vote: a third of the three failures that the judge needs
+// is a single failure, the least that shows anything.
 constexpr double kMinEvidenceFraction = 1.0 / 3;
 constexpr double kMinFlaggedShare = 1e-3;
 
@@ -16,7 +17,8 @@
     return !reader.one_of<bool>("list.told", {{"asked", true}, {"unasked", false}}, "unasked");
 }
 
-// Without a time within which changes count as notified, an unconfirmed list stays valid.
+// If no time is set within which changes count as notified, a list stays valid without
+// confirmation.
 EndpointListFreshness::Bounds read_list_bounds(const SettingsReader& reader) {
     constexpr Seconds kUnbounded = EndpointListFreshness::kUnbounded;
     EndpointListFreshness::Bounds bounds;
@@ -91,7 +93,7 @@
     return release;
 }
 
-// Quotas matter only where requests beyond them are worth less.
+// Quotas are enforced only if requests beyond them are worth less.
 std::map<TenantId, double> read_quotas(const SettingsReader& reader) {
     const bool enforced = reader.number_or("over_share_value", 1) < 1;
     const double count = enforced ? reader.number_or("customers.count", 0) : 0;
--- a/src/policy/policy_settings.hpp
+++ b/src/policy/policy_settings.hpp
@@ -10,39 +10,39 @@
 
 namespace tideline {
 
-// What is agreed for one request class.
+// The service level of one request class, and what a retry of its requests does.
 struct RequestClassSettings {
     Seconds slo_time = 0;       // an answer within this time counts as in time
     Seconds repeat_window = 0;  // fingerprinted requests only: how long a repeat is recognised
     double billed_value = 1;    // value of one answered request
     Effect effect = Effect::idempotent;
-    Group repeat_group = Group::all;  // where a repeat is recognised
+    Group repeat_group = Group::all;  // endpoints that recognise a repeat
 };
 
-// How votes move a release from one stage to the next.
+// What moves a release from one stage to the next: the votes of sidecars, or time.
 enum class StageAdvance { votes, clock };
 
 struct ReleaseSettings {
-    Seconds exposure_window = 0;  // stretch in which exposed requests are counted
-    double allowance = 0;         // requests of a window that may exceed the cap
-    double first_cap = 0;         // share of the requests; holds for builds not announced yet
+    Seconds exposure_window = 0;  // window in which exposed requests are counted
+    double allowance = 0;         // requests per window by which exposure may exceed the cap
+    double first_cap = 0;         // share of the requests; also the cap of builds not announced yet
     bool cap_per_request_class = false;
-    int guarded_stages = 0;     // first stages that get idempotent requests only
-    bool one_way_keys = false;  // a key answered by a new build may not return to an older one
+    int guarded_stages = 0;     // number of first stages that get idempotent requests only
+    bool one_way_keys = false;  // older builds may not get a key that a new build has answered
     StageAdvance advanced_by = StageAdvance::votes;
     Seconds min_stage_time = 0;
     Seconds vote_lifetime = 0;
     Seconds vote_timeout = 0;
-    double back_votes = 1;         // votes that withdraw a build
-    double evidence_fraction = 1;  // of the evidence that one back vote needs
-    double flagged_share = 0;      // share of wrong answers that clients flag
+    double back_votes = 1;         // back votes that withdraw a build
+    double evidence_fraction = 1;  // of the usual evidence, needed for one back vote
+    double flagged_share = 0;      // share of the wrong answers that clients flag
 };
 
 struct SlowStartSettings {
-    double initial_capacity = 0;   // share of the full capacity that a fresh endpoint has
-    Seconds duration = 0;          // from the start of an endpoint until its full capacity
-    double overload_multiple = 0;  // of its capacity: more than this in a window overloads it
-    Seconds window = 0;            // stretch over which requests to a cold endpoint are counted
+    double initial_capacity = 0;   // share of its full capacity that a just started endpoint has
+    Seconds duration = 0;          // from the start of an endpoint until it has its full capacity
+    double overload_multiple = 0;  // of its capacity; more requests in a window overload it
+    Seconds window = 0;            // window in which requests to a cold endpoint are counted
 };
 
 // All settings of the routing policy. Immutable after start.
@@ -52,15 +52,15 @@
 
     EndpointListFreshness::Bounds list_bounds;
     bool is_list_pushed = false;
-    double sidecars = 1;  // sidecars of the fleet, this one included
+    double sidecars = 1;  // number of sidecars in the fleet, this one included
     std::vector<RequestClassSettings> request_classes;
     ReleaseSettings release;
     SlowStartSettings slow_start;
-    Seconds drain_grace = 0;  // how long sending may go on after a change was notified
+    Seconds drain_grace = 0;  // how long attempts may still be sent after a change was notified
     int max_attempts = 1;
-    std::map<TenantId, double> quotas;  // shares of the tenants; empty where none are enforced
-    bool valued_by_work = false;        // else each answered request earns its billed value
-    Seconds max_retry_after = 0;        // 0: no advice to rejected clients
+    std::map<TenantId, double> quotas;  // shares of the tenants; empty if quotas are not enforced
+    bool valued_by_work = false;  // billed values are per unit of work, else per answered request
+    Seconds max_retry_after = 0;  // 0: rejected clients get no advice when to retry
     bool cross_location_costs = false;
     bool health_checks_allowed = false;
     Location location;
--- a/src/policy/random_source.hpp
+++ b/src/policy/random_source.hpp
@@ -1,5 +1,5 @@
-// The one source of randomness of a routing policy. Seeded, so that a run can be repeated: the
-// order of the draws is part of the policy's behaviour.
+// The only source of randomness of a routing policy. It is seeded so that runs are reproducible,
+// which makes the order of the draws part of the policy's behaviour.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
     explicit RandomSource(std::uint64_t seed)
         : engine_(static_cast<std::uint32_t>(seed ^ (seed >> 32))) {}
 
-    // Evenly distributed between `from` and `to`.
+    // Draws from the uniform distribution between `from` and `to`.
     double uniform(double from, double to) {
         const double unit =
             static_cast<double>(engine_()) / static_cast<double>(std::ranlux24_base::max());
@@ -25,7 +25,7 @@
     std::ranlux24_base engine_;
 };
 
-// A draw between 0 and 1 that is renewed only after its time is over.
+// A uniform draw between 0 and 1 that keeps its value for a given time before it is drawn again.
 class HeldDraw {
   public:
     double value(Seconds now, Seconds held_for, RandomSource& random) {
--- a/src/policy/records.hpp
+++ b/src/policy/records.hpp
@@ -1,4 +1,5 @@
-// Records of requests, attempts, counted answers and the release. Nothing is decided here.
+// Plain records of requests, attempts, counts of answers, and the release status. They make no
+// decisions.
 #pragma once
 
 #include <algorithm>
@@ -10,14 +11,14 @@
 
 namespace tideline {
 
-// What happens when a request is run twice: nothing; nothing while the repeat is recognised by its
-// fingerprint; the effect happens twice.
+// What a repeated request does: nothing; nothing while its fingerprint is recognised; its effect a
+// second time.
 enum class Effect { idempotent, fingerprinted, side_effecting };
-// The endpoints that recognise a repeat of each other's requests.
+// The endpoints that recognise repeats of each other's requests.
 enum class Group { all, location, cell };
 
 struct Attempt {
-    EndpointInfo endpoint;  // as listed when it was sent
+    EndpointInfo endpoint;  // as listed when the attempt was sent
     Seconds sent = 0;
     bool cold = false;  // the endpoint was too young for its answer to be evidence on its build
     bool warm = true;   // the endpoint's slow start was over
@@ -34,7 +35,7 @@
     Seconds deadline = 0;
     std::vector<Attempt> attempts;  // oldest first
     bool concluded = false;         // the client has its final answer
-    bool waiting = false;           // in the queue
+    bool waiting = false;           // the request is in the queue
 
     bool in_flight() const {
         return !attempts.empty() && !attempts.back().ended;
@@ -50,7 +51,7 @@
     AttemptNumber last_attempt() const {
         return {static_cast<int>(attempts.size()) - 1};
     }
-    // Null where there is no attempt of this number.
+    // Returns null if there is no attempt of this number.
     Attempt* find_attempt(AttemptNumber number) {
         const bool known = number.value >= 0 && number.value < static_cast<int>(attempts.size());
         return known ? &attempts[static_cast<std::size_t>(number.value)] : nullptr;
@@ -59,23 +60,23 @@
 
 // Why a request got its final answer from this sidecar and not from an endpoint.
 enum class RejectionReason {
-    attempts_used,          // the most attempts allowed were made
-    shed,                   // a share of the requests is shed while answers come late
-    over_quota,             // its tenant exceeds its quota while others wait
-    no_endpoint,            // no listed endpoint may take it
-    endpoint_list_expired,  // the endpoint list is not valid any more
-    paused,                 // this process was paused a moment ago and queues nothing
-    too_late,               // waiting longer would bring no answer within the SLO time
-    timed_out,              // its attempt timed out at its deadline
-    never_sent,             // its attempt ended without a connection, too late for another
+    attempts_used,  // the maximum number of attempts was made
+    shed,           // the load shedder rejects a share of the requests while answers are late
+    over_quota,     // the tenant exceeds its quota while other requests wait
+    no_endpoint,    // no listed endpoint may take the request
+    endpoint_list_expired,  // the endpoint list is no longer valid
+    paused,                 // this process was paused recently and queues nothing
+    too_late,               // waiting any longer would bring no answer within the SLO time
+    timed_out,              // the attempt timed out at the deadline of the request
+    never_sent,             // the attempt got no connection, and it is too late for another
 };
 constexpr int kRejectionReasons = static_cast<int>(RejectionReason::never_sent) + 1;
-// In the order of RejectionReason; the names of logs and counters.
+// The names of the reasons in logs and counters, in the order of RejectionReason.
 constexpr std::array<const char*, kRejectionReasons> kRejectionReasonNames = {
     "attempts_used", "shed",     "over_quota", "no_endpoint", "endpoint_list_expired",
     "paused",        "too_late", "timed_out",  "never_sent"};
 
-// Answers counted for or against a build.
+// A number of answers, and how many of them were bad.
 struct Count {
     double seen = 0;
     double bad = 0;
@@ -87,13 +88,14 @@
     }
 };
 
-// The newest status of the build on trial, or just released.
+// The latest status of the build that is on trial or was just released.
 struct ReleaseStatus {
     Build build;
     Stage stage;
     Phase phase = Phase::trial;
-    double cap = 0;                // share of the requests that the build may get
-    Seconds stage_started_at = 0;  // start of the stage
+    double cap = 0;  // largest share of the requests that the build may get
+    Seconds stage_started_at = 0;
+    // Whether the build is still judged by the answers to its requests.
     bool is_judged() const {
         return phase == Phase::trial || phase == Phase::released;
     }
--- a/src/policy/rejection_counters.hpp
+++ b/src/policy/rejection_counters.hpp
@@ -1,4 +1,4 @@
-// How many requests were rejected since the start, by reason.
+// Counts the requests rejected since the start, by reason.
 #pragma once
 
 #include <array>
--- a/src/policy/release_evidence.cpp
+++ b/src/policy/release_evidence.cpp
@@ -8,20 +8,24 @@
 namespace tideline {
 namespace {
 
-// An answer is slow from this multiple of the median response time on.
+// An answer is slow if it takes longer than this multiple of the median response time.
 constexpr double kSlowMultiple = 2;
-// Answers of a request class: kept for its median, and needed before the median is used.
+// Response times of a request class: how many are kept for the median, and how many are needed
+// before the median is used.
 constexpr std::size_t kMaxResponseTimes = 64;
 constexpr std::size_t kMinResponseTimes = 12;
-// Answers of the earlier build needed beside the judged one to judge slowness.
+// Answers of the earlier build in the same stage that are needed to judge slowness.
 constexpr double kMinEarlierAnswersForSlowness = 30;
-// Answers of the earlier build in one stage from which on earlier stages are left out.
+// With this many answers of the earlier build in one stage, earlier stages are left out.
 constexpr double kSufficientEarlierAnswers = 100;
-// Endpoints of one stage start within this time of each other; younger ones clear no other.
+// The endpoints of one stage start within this time of each other. Answers of an endpoint that
+// started later do not clear another endpoint.
 constexpr Seconds kSameStageStartWindow = 1;
-// An endpoint that fails more than this share, in several request classes, is itself broken.
+// An endpoint that fails more than this share of its requests, in several request classes, is
+// itself broken.
 constexpr double kBrokenFailureThreshold = 0.5;
-// Answers of other endpoints needed to blame one endpoint, and for a tally to count.
+// Answers of other endpoints that are needed to blame a single endpoint; also the answers in a
+// tally that are needed for the tally to count.
 constexpr double kMinOtherAnswers = 10;
 
 double slow_threshold(const SlidingWindow<double>& times) {
@@ -36,7 +40,8 @@
 }  // namespace
 
 void ReleaseEvidence::start_build(Build build, bool previous_released, double sent_recently) {
-    // Flags are rare: all of the builds before are kept to compare with, unless one was withdrawn.
+    // Flags are rare, so the answers of all builds before are kept for comparison, except those of
+    // a build that was withdrawn.
     Count& flagged_before = earlier_stage_counts_[kChargeFlagged];
     flagged_before = flagged_before + earlier_counts_[kChargeFlagged];
     if (previous_released) {
@@ -78,7 +83,7 @@
 void ReleaseEvidence::add_answer(const Request& request, const Attempt& attempt, bool failed,
                                  Seconds took, bool under_pressure, bool released) {
     const EndpointInfo& endpoint = attempt.endpoint;
-    // Flags come for answers of cold endpoints too.
+    // Clients flag answers of cold endpoints too.
     add_count(kChargeFlagged, endpoint.id, endpoint.build, {1, 0});
     if (attempt.cold) {
         return;
@@ -86,8 +91,8 @@
     const Count answer{1, failed ? 1.0 : 0.0};
     add_count(charge_of(request.request_class), endpoint.id, endpoint.build, answer);
     add_count(kChargeAnyFailure, endpoint.id, endpoint.build, answer);
-    // Under pressure the endpoints with more requests in flight are slower whatever build they
-    // run, and those of the trial have more.
+    // Under pressure, endpoints with more requests in flight are slower whatever build they run,
+    // and endpoints of the build on trial have more in flight.
     if (failed || !attempt.warm || under_pressure) {
         return;
     }
@@ -144,10 +149,11 @@
     return found == judged_counts_.end() ? none : found->second;
 }
 
-// The half of the endpoints with the least share of bad answers: a fault of some machines does not
-// touch it. Where several back votes have to agree the part is larger, since with one answer an
-// endpoint a half would be chance. Compared with all endpoints as they were before the trial, the
-// best half would hide a slowdown of all; there the middle half is taken.
+// Adds up the counts of the half of the endpoints with the lowest share of bad answers, which a
+// fault of some machines does not affect. Where several back votes have to agree, fewer endpoints
+// are left out, since with one answer per endpoint the better half would be a matter of chance. If
+// `both_sides` is set, the middle half is used instead: in a comparison with all endpoints as they
+// were before the trial, the best half would hide a slowdown of the whole fleet.
 Count ReleaseEvidence::trimmed_count(const CountsByEndpoint& counts, bool both_sides) const {
     std::vector<Count> sorted;
     for (const auto& [endpoint, count] : counts) {
@@ -165,8 +171,9 @@
     return trimmed;
 }
 
-// Machines that fail whatever they get would mark a good build, early in a trial where little else
-// speaks for it. They are left out, unless most machines that run the build are so.
+// The endpoints that fail whatever requests they get. Early in a trial, with few other answers,
+// they would mark a good build, so they are left out unless most endpoints of the build are like
+// that.
 std::set<EndpointId> ReleaseEvidence::broken_endpoints() const {
     struct EndpointFailures {
         Count answers;
@@ -192,8 +199,9 @@
     return most_are_broken ? std::set<EndpointId>{} : broken;
 }
 
-// One broken or slow machine may not mark a good build for good. What a build does it does on all
-// its machines, so the worst is left out where the others, with enough answers, show no failure.
+// Adds up the counts, without the worst endpoint if the others have enough answers and no failure.
+// A single broken or slow machine must not mark a good build for the rest of the trial, and a fault
+// of the build shows on all its endpoints.
 Count ReleaseEvidence::without_worst_endpoint(const CountsByEndpoint& counts,
                                               const std::set<EndpointId>& broken) const {
     Count all;
@@ -224,7 +232,8 @@
     return {all.seen - worst->second.seen, all.bad - worst->second.bad};
 }
 
-// Slowness always leaves endpoints out; with a single one the build's slowness is not judged.
+// For slowness some endpoints are always left out, so with a single endpoint the slowness of the
+// build is not judged.
 Count ReleaseEvidence::judged_build_count(Charge charge) const {
     const CountsByEndpoint& counts = judged_counts(charge);
     if (charge == kChargeSlowness) {
@@ -238,8 +247,8 @@
                                   by_failures ? broken_endpoints() : std::set<EndpointId>{});
 }
 
-// Where the earlier build gets too little in this stage, the stages before count too. Slowness is
-// compared within one stage only, since a busier hour makes any build slow.
+// If the earlier build has too few answers in this stage, those of earlier stages count too.
+// Slowness is compared within one stage only, since more traffic makes any build slower.
 Count ReleaseEvidence::earlier_builds_count(Charge charge) const {
     const Count in_present_stage = count_or_zero(earlier_counts_, charge);
     if (charge == kChargeFleetSlowness) {
@@ -255,7 +264,7 @@
     return in_present_stage + count_or_zero(earlier_stage_counts_, charge);
 }
 
-// A cut link or a dead machine hits all request classes alike and says nothing of the build.
+// A cut link or a dead machine affects all request classes alike and is no evidence on the build.
 Count ReleaseEvidence::tallied_above_common_failures(Charge charge) const {
     double common = 1;
     for (const auto& [each, count] : tallied_judged_) {
--- a/src/policy/release_judge.hpp
+++ b/src/policy/release_judge.hpp
@@ -15,13 +15,13 @@
 
 namespace tideline {
 
-// A charge that the judge holds to be proved.
+// A charge that the judge considers proved.
 struct ChargeMark {
     Build build;
     Stage stage;
     Charge charge;
     Count judged;   // answers of the marked build
-    Count earlier;  // answers that they were compared with
+    Count earlier;  // answers of earlier builds, for comparison
     std::string text() const;
 };
 
@@ -31,10 +31,9 @@
                  const ReleaseState& release)
         : settings_(settings), release_(release), evidence_(settings.release, endpoints) {}
 
-    // The release state was updated.
     void release_updated(Seconds now);
     void attempt_sent(Seconds now);
-    // Something had to wait here for an endpoint.
+    // A request had to wait for an endpoint at this sidecar.
     void pressure_seen(Seconds now) {
         last_pressure_ = now;
     }
@@ -46,18 +45,19 @@
     void tally_received(Build build, RequestClass request_class, const Count& count) {
         evidence_.add_tally(build, request_class, count);
     }
-    // To be called at each tick; judges when its interval is over. Returns the new marks.
+    // To be called at each tick. Judges the build once per judging interval and returns the new
+    // marks.
     std::vector<ChargeMark> tick(Seconds now);
 
     bool has_marks() const {
         return !marks_.empty();
     }
-    // Whether some charge is likely enough to hold the vote for the next stage.
+    // Whether a charge is likely enough to hold back the vote for the next stage.
     bool is_suspicious() const;
 
   private:
     struct ChargeLfdr {
-        double lfdr = 0;  // probability that the charge is a matter of chance
+        double lfdr = 0;  // probability that the evidence is due to chance
         Charge charge;
         auto operator<=>(const ChargeLfdr&) const = default;
     };
--- a/src/policy/release_state.hpp
+++ b/src/policy/release_state.hpp
@@ -1,5 +1,5 @@
-// What this sidecar was notified of the build on trial, shared by the exposure cap, the release
-// judge and the ballots.
+// What this sidecar knows about the build on trial, shared by the exposure cap, the release judge
+// and the ballots.
 #pragma once
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 
 class ReleaseState {
   public:
-    // Returns whether the status concerns another build than the last one did.
+    // Stores a new status. Returns whether it is about another build than the previous one.
     bool update(const ReleaseStatus& status, Seconds now, Seconds drain_grace) {
         const bool new_build = !status_ || status.build != status_->build;
         if (!new_build && status.cap < status_->cap) {
@@ -39,12 +39,12 @@
     TrialParticipation participation() const {
         return participation_;
     }
-    // After the cap fell, requests count towards it from this time on only.
+    // After the cap was lowered, only requests from this time on count towards it.
     Seconds exposure_counted_from() const {
         return exposure_counted_from_;
     }
-    // The share of the requests that `build` may get. A build that was not announced counts as in
-    // the first stage; a restricted participation lowers the cap further.
+    // The largest share of the requests that `build` may get. A build that was not announced is
+    // treated as in the first stage; a restricted participation lowers the cap further.
     double cap_of(Build build, double first_cap) const {
         const double cap = is_announced(build) ? status_->cap : first_cap;
         switch (participation_) {
--- a/src/policy/request_router.cpp
+++ b/src/policy/request_router.cpp
@@ -5,7 +5,7 @@
 namespace tideline {
 namespace {
 
-// Whether the endpoint may have started to work on an attempt that ended so.
+// Whether the endpoint may have started to run an attempt that ended with this outcome.
 bool may_have_run(Outcome outcome) {
     return outcome != Outcome::overloaded && outcome != Outcome::unreachable &&
            outcome != Outcome::never_sent;
@@ -36,7 +36,7 @@
     dispatch(now, arrival.id, requests_.add(arrival.id, std::move(request)));
 }
 
-// Sends a request, queues it while that makes sense, or rejects it.
+// Sends the request, queues it if an endpoint may be free in time, or rejects it.
 void RequestRouter::dispatch(Seconds now, RequestId id, Request& request) {
     const AdmissionDecision admission = modules_.admission.decide(now, request, requests_);
     if (!admission.is_admitted()) {
@@ -174,7 +174,7 @@
         case Outcome::broken:
             return eject(now, endpoint, EjectionReason::connection_broken);
         case Outcome::timed_out:
-            // After a pause of this process its own late clock looks like the endpoint's silence.
+            // After a pause of this process, its own delay looks like silence of the endpoint.
             if (endpoint.health.last_answer_time() <= attempt.sent &&
                 !modules_.pauses.paused_since(attempt.sent)) {
                 eject(now, endpoint, EjectionReason::no_answer);
@@ -194,7 +194,8 @@
     }
 }
 
-// After an attempt ended: the request is over, rejected, or attempted once more.
+// Decides what follows the end of an attempt: the request is complete, is rejected, or is attempted
+// again.
 void RequestRouter::continue_request(Seconds now, RequestId id, Request& request,
                                      const Attempt& attempt, Outcome outcome) {
     if (request.concluded) {
@@ -226,7 +227,7 @@
     Attempt& attempt = *last;
     const Endpoint& endpoint = modules_.endpoints.find_or_add(attempt.endpoint.id);
     const EndpointInfo& info = endpoint.info;
-    attempt.may_have_run = false;  // not yet: earlier attempts alone decide on the repeat
+    attempt.may_have_run = false;  // not sent yet, so only earlier attempts decide
     const bool may_repeat = modules_.retry_policy.may_repeat_at(now, *request, info);
     attempt.may_have_run = true;
     const bool same_endpoint =
--- a/src/policy/request_router.hpp
+++ b/src/policy/request_router.hpp
@@ -18,7 +18,7 @@
     TenantId tenant;
     std::optional<ObjectKey> key;
     Seconds budget = 0;
-    std::vector<Attempt> earlier_attempts;  // by other sidecars
+    std::vector<Attempt> earlier_attempts;  // made by other sidecars
 };
 
 // The end of an attempt, as the host reports it.
@@ -36,13 +36,13 @@
     explicit RequestRouter(PolicyModules& modules) : modules_(modules) {}
 
     void request_arrived(Seconds now, const NewRequest& request);
-    // Another sidecar received it and counted it.
+    // Takes over a request that another sidecar has received and counted.
     void request_handed_over(Seconds now, const NewRequest& request);
     void stream_started(Seconds now, RequestId id, AttemptNumber number);
     void attempt_ended(Seconds now, const AttemptEnd& end);
-    // Asked before the first byte of an attempt that waited for a connection: meanwhile its
-    // endpoint may drain or be another, the cap may have fallen, or the time in which a repeat is
-    // recognised may be over.
+    // Whether an attempt that waited for a connection may still be sent. Meanwhile its endpoint may
+    // have been drained or replaced, the cap may have fallen, or the time within which repeats are
+    // recognised may have ended.
     bool may_still_send(Seconds now, RequestId id, AttemptNumber number);
     void request_abandoned(RequestId id);
     void serve_queue(Seconds now);
--- a/src/policy/request_table.hpp
+++ b/src/policy/request_table.hpp
@@ -1,5 +1,5 @@
-// The requests that have no final answer yet or an attempt in flight, and the queue of those that
-// wait for an endpoint.
+// Holds the requests that have no final answer yet or still have an attempt in flight, and the
+// queue of those that wait for an endpoint.
 #pragma once
 
 #include <algorithm>
@@ -16,7 +16,7 @@
     Request& add(RequestId id, Request request) {
         return requests_.insert_or_assign(id, std::move(request)).first->second;
     }
-    // Null where the request is not known, or not any more.
+    // Returns null if the request is unknown or was erased.
     Request* find(RequestId id) {
         const auto found = requests_.find(id);
         return found == requests_.end() ? nullptr : &found->second;
@@ -32,11 +32,11 @@
     void requeue(RequestId id) {
         queue_.push_back(id);
     }
-    // Entries of requests that ended meanwhile count until the queue is taken.
+    // Entries of requests that have ended count until take_queue() drops them.
     bool queue_empty() const {
         return queue_.empty();
     }
-    // Known requests in the queue that fulfil a condition.
+    // Counts the queued requests that still exist and satisfy the condition.
     template <class Condition>
     std::ptrdiff_t count_queued(Condition condition) const {
         return std::count_if(queue_.begin(), queue_.end(), [&](RequestId id) {
@@ -44,7 +44,7 @@
             return found != requests_.end() && condition(found->second);
         });
     }
-    // Empties the queue; returns those that still wait, the highest value first.
+    // Empties the queue and returns the requests that still wait, the highest value first.
     template <class Value>
     std::deque<RequestId> take_queue(Value value) {
         std::deque<RequestId> taken;
--- a/src/policy/response_times.cpp
+++ b/src/policy/response_times.cpp
@@ -5,11 +5,11 @@
 namespace tideline {
 namespace {
 
-constexpr std::size_t kMaxRecentTimes = 64;  // answers of a request class: a steady median
-constexpr std::size_t kBatchSize = 12;       // answers whose mean is a response time
+constexpr std::size_t kMaxRecentTimes = 64;  // per request class; enough for a steady median
+constexpr std::size_t kBatchSize = 12;       // answers averaged into one response time
 constexpr std::size_t kMaxBatches = 60;
 constexpr std::size_t kMaxRelativeTimes = 12;    // answers of all endpoints
-constexpr double kUnloadedSloShare = 0.167;      // of the SLO time: an unloaded answer takes less
+constexpr double kUnloadedSloShare = 0.167;      // of the SLO time; answers take less without load
 constexpr double kAssumedMedianSloShare = 0.25;  // of the SLO time, before the first answer
 constexpr Seconds kMinTime = 1e-6;               // keeps quotients finite
 
--- a/src/policy/response_times.hpp
+++ b/src/policy/response_times.hpp
@@ -1,4 +1,5 @@
-// Response times of the request classes, and what all endpoints take at present relative to them.
+// Tracks the response times of each request class, and the recent response times of all endpoints
+// relative to the shortest ones.
 #pragma once
 
 #include <vector>
--- a/src/policy/retry_policy.hpp
+++ b/src/policy/retry_policy.hpp
@@ -1,6 +1,6 @@
-// Whether a request may be attempted once more, and at which endpoint, without the risk that its
-// effect happens twice. Requests are never hedged: a retry begins only after the attempt before it
-// has ended.
+// Decides whether a request may be attempted again, and at which endpoint, without the risk that
+// its effect happens twice. Requests are never hedged: a retry begins only after the attempt before
+// it has ended.
 #pragma once
 
 #include "policy/policy_settings.hpp"
@@ -10,10 +10,10 @@
 
 enum class RepeatDecision {
     allowed,
-    side_effect,       // a repeat is never recognised
-    window_over,       // a repeat is not recognised any more
-    outside_location,  // a repeat is recognised at the location of the first attempt only
-    outside_cell,      // a repeat is recognised in the cell of the first attempt only
+    side_effect,       // repeats of such a request are never recognised
+    window_over,       // repeats are no longer recognised
+    outside_location,  // repeats are recognised only at the location of the earlier attempts
+    outside_cell,      // repeats are recognised only in the cell of the earlier attempts
 };
 
 class RetryPolicy {
@@ -27,7 +27,7 @@
     bool may_repeat_at(Seconds now, const Request& request, const EndpointInfo& endpoint) const {
         return decide(now, request, endpoint) == RepeatDecision::allowed;
     }
-    // Whether the client may send the request again after a rejection.
+    // Whether the client may safely send the request again after a rejection.
     bool safe_to_reject(const Request& request) const {
         return settings_.of(request.request_class).effect == Effect::idempotent ||
                !request.may_have_run();
--- a/src/policy/routing_policy.cpp
+++ b/src/policy/routing_policy.cpp
@@ -6,13 +6,14 @@
 namespace tideline {
 namespace {
 
-// Between ticks while no request waits, for votes and the judge; scattered from half of it up.
+// The interval of ticks while no request waits, for votes and the judge. Jitter shortens each
+// interval by up to half.
 constexpr Seconds kIdleTickInterval = 0.25;
 constexpr double kMinIdleTickJitterFactor = 0.5;
 
 }  // namespace
 
-// The modules of the policy and the work of a tick.
+// The modules of the policy, and the work done at each tick.
 struct RoutingPolicy::PolicyState {
     PolicyState(Host& host, const Settings& settings, std::uint64_t seed, Seconds now)
         : modules(host, settings, seed, now) {
@@ -163,7 +164,8 @@
     }
 }
 
-// The endpoint may run another build since: a flag for what it ran before does not count.
+// The endpoint may have restarted with another build since it gave the flagged answer. Such a flag
+// is no evidence on the present build.
 void RoutingPolicy::answer_flagged(Seconds now, RequestClass, const EndpointId& id,
                                    Seconds sent_ago) {
     PolicyState& state = at(now);
--- a/src/policy/routing_policy.hpp
+++ b/src/policy/routing_policy.hpp
@@ -1,5 +1,5 @@
-// The interface of the routing policy: events go in (RoutingPolicy), actions come out (Host). All
-// calls come from one thread, the event loop.
+// The interface of the routing policy: RoutingPolicy receives events, and Host carries out the
+// resulting actions. All calls are made on one thread, that of the event loop.
 #pragma once
 
 #include <memory>
@@ -11,32 +11,34 @@
 
 namespace tideline {
 
-// The actions of the policy. Each call takes effect at once; none calls back into the policy.
+// The actions that the policy requests. Each call takes effect at once, and none calls back into
+// the policy.
 class Host {
   public:
     virtual ~Host() = default;
     // Sends an attempt, which has to end by `stop_at`.
     virtual void attempt(RequestId request, const EndpointId& endpoint, Seconds stop_at) = 0;
-    // The client may send the request again; `retry_after` 0: without advice when.
+    // Rejects a request that the client may safely send again. With a `retry_after` of 0 the client
+    // gets no advice when.
     virtual void reject(RequestId request, Seconds retry_after) = 0;
-    // The request may have run, so the client has to be told that its outcome is unknown.
+    // Fails a request that may have run. The client has to be told that the outcome is unknown.
     virtual void fail(RequestId request) = 0;
-    // Sends a health check.
     virtual void send_health_check(const EndpointId& endpoint) = 0;
-    // Opens the watch, which starts with the changes missed or with the whole list.
+    // Opens the watch on the endpoint list, which begins with the changes missed or with the
+    // complete list.
     virtual void watch_endpoint_list() = 0;
+    // Sends a vote on the build on trial; vote_answered() reports the reply.
     virtual void vote(Build build, Stage stage, Vote vote) = 0;
     // Sets a timer, which can't be cancelled.
     virtual void set_timer(Seconds delay, TimerId timer) = 0;
-    // The build is judged to be bad; a log line says why.
+    // The build was judged to be bad; a log line gives the reason.
     virtual void build_condemned(Build, Stage) {}
-    // Writes a log line.
     virtual void log_event(const std::string& text) = 0;
 };
 
-// The decisions of one sidecar. Each call carries the time, in seconds, which never decreases. The
-// constructor throws std::invalid_argument, naming the setting, if it can't work with the settings.
-// `host` is not owned and outlives the policy.
+// Makes the routing decisions of one sidecar. Each call carries the current time, in seconds, which
+// never decreases. The constructor throws std::invalid_argument, which names the setting, if a
+// setting is missing or out of range. `host` is not owned and must outlive the policy.
 class RoutingPolicy {
   public:
     RoutingPolicy(Host& host, const Settings& settings, std::uint64_t seed, Seconds now);
@@ -44,22 +46,24 @@
     RoutingPolicy(const RoutingPolicy&) = delete;
     RoutingPolicy& operator=(const RoutingPolicy&) = delete;
 
-    // A list alone confirms nothing: once it was read whole, endpoint_list_confirmed follows.
+    // A list alone confirms nothing; endpoint_list_confirmed() follows once all of it has been
+    // read.
     void endpoints_updated(Seconds now, EndpointListKind kind,
                            const std::vector<EndpointInfo>& endpoints);
-    // A message of the watch, with or without a change: all that was notified by `as_of` is known.
+    // The watch delivered a message, with or without a change: every change notified by `as_of` has
+    // been read.
     void endpoint_list_confirmed(Seconds now, Seconds as_of);
-    // In these calls `since` is the earliest time at which the event may have arrived.
-    // A change has arrived in part, or can't be read: it counts as notified.
+    // In the next three calls `since` is the earliest time at which the event may have arrived. An
+    // unreadable change has arrived in part or can't be parsed; it counts as notified.
     void endpoint_list_unreadable(Seconds now, Seconds since);
-    // The discovery service is called at another address from now on.
+    // From now on the discovery service is called at another address.
     void discovery_moved(Seconds now, Seconds since);
     void watch_lost(Seconds now, Seconds since, WatchLoss loss);
     void request_arrived(Seconds now, RequestId request, RequestClass request_class,
                          TenantId tenant, std::optional<ObjectKey> key, Seconds budget,
                          std::optional<Seconds> work);
-    // A request that other sidecars may have sent before. Their attempts count like own ones; the
-    // request itself was counted by the sidecar that received it.
+    // Takes over a request that other sidecars may have sent before. Their attempts count like this
+    // sidecar's own; the request itself was counted by the sidecar that received it.
     void request_handed_over(Seconds now, RequestId request, RequestClass request_class,
                              TenantId tenant, std::optional<ObjectKey> key, Seconds budget,
                              const std::vector<Attempt>& earlier);
@@ -67,8 +71,8 @@
     void attempt_ended(Seconds now, RequestId request, AttemptNumber number,
                        const EndpointId& endpoint, Outcome outcome, Seconds took, bool concluded,
                        const LoadReport& load);
-    // Asked just before the first byte of an attempt that had to wait for a connection. If the
-    // answer is no, the attempt has to end as never_sent.
+    // To be called just before the first byte of an attempt that waited for a connection. If it
+    // returns false, the attempt has to end as never_sent.
     bool may_still_send(Seconds now, RequestId request, AttemptNumber number);
     void request_abandoned(Seconds now, RequestId request);
     void health_check_ended(Seconds now, const EndpointId& endpoint, Outcome outcome, Seconds took,
@@ -80,15 +84,16 @@
     void stage_announced(Seconds now, Build build, Stage stage, Phase phase, double cap,
                          Seconds age);
     void vote_answered(Seconds now, VoteReply reply);
-    // Can only restrict: attempts at the build on trial end as if the cap had fallen, and no vote
-    // for the next stage is sent.
+    // Restricts this sidecar's part in a trial, but never extends it. A restriction acts on
+    // attempts at the build on trial as if the cap had been lowered, and no vote for the next stage
+    // is sent.
     void trial_participation_set(Seconds now, TrialParticipation trial_participation);
-    // The coordinator grants `most` attempts in a window to a cold endpoint, for `valid` seconds.
-    // The own slow start rule holds besides.
+    // The coordinator grants this sidecar `max_attempts` attempts per window at a cold endpoint,
+    // for `valid_for` seconds. The sidecar's own slow start limit applies as well.
     void slow_start_limit_set(Seconds now, const EndpointId& endpoint, double max_attempts,
                               Seconds valid_for);
     void timer_fired(Seconds now, TimerId timer);
-    // Requests rejected since the start, by reason; for the log.
+    // The number of requests rejected for this reason since the start; used for the log.
     long rejections(RejectionReason reason) const;
 
   private:
--- a/src/policy/samples.hpp
+++ b/src/policy/samples.hpp
@@ -1,4 +1,5 @@
-// Containers of samples: the newest few, means of batches, and events of a sliding window of time.
+// Containers of samples: a window of the newest values, means of batches, and a sliding time window
+// of events.
 #pragma once
 
 #include <algorithm>
@@ -8,7 +9,7 @@
 
 namespace tideline {
 
-// Keeps the newest `most` values, oldest first.
+// Keeps the newest `max_size` values, oldest first.
 template <class Value>
 class SlidingWindow {
   public:
@@ -43,7 +44,7 @@
     std::deque<Value> kept_;
 };
 
-// The value below which `part` of the values lie; 0 if there is none.
+// The value below which the given fraction of the values lies; 0 if there are no values.
 template <class Values>
 double quantile(const Values& values, double fraction) {
     std::vector<double> sorted(values.begin(), values.end());
@@ -56,13 +57,13 @@
     return *position;
 }
 
-// Means of batches of a fixed length: the mean of the newest values, and the least mean among the
-// batches kept.
+// Averages values in batches of a fixed size. Gives the mean of the newest values, and the lowest
+// mean among the batches kept.
 class BatchedMeans {
   public:
     BatchedMeans(std::size_t batch_size, std::size_t max_batches)
         : newest_(batch_size), means_(max_batches), batch_size_(batch_size) {}
-    // True when the value completes a batch.
+    // Returns whether the value completes a batch.
     bool add(double value) {
         newest_.add(value);
         if (++in_batch_ < batch_size_) {
@@ -96,8 +97,8 @@
     std::size_t in_batch_ = 0;
 };
 
-// Times of events, which come in order; `since` counts those at or after a time, `after` those
-// after it.
+// Times of events, which are added in order. since() counts the events at or after a time, after()
+// those strictly after it.
 class EventWindow {
   public:
     void add(double time, double kept_for) {
--- a/src/policy/settings_reader.hpp
+++ b/src/policy/settings_reader.hpp
@@ -1,5 +1,5 @@
-// Reads single settings by name. Throws std::invalid_argument, naming the setting, where a required
-// one is missing or one is out of its range.
+// Reads single settings by name. Throws std::invalid_argument, which names the setting, if a
+// required setting is missing or a value is out of range.
 #pragma once
 
 #include <optional>
@@ -13,14 +13,14 @@
   public:
     explicit SettingsReader(Settings settings) : settings_(std::move(settings)) {}
 
-    // A required number between `least` and `most`.
+    // Returns a required number between `min` and `max`.
     double required_number(const std::string& name, double min = 0, double max = 1e9) const {
         if (!settings_.contains(name)) {
             throw std::invalid_argument("missing term: " + name);
         }
         return number_or(name, 0, min, max);
     }
-    // A number between `least` and `most`, or `otherwise` where it is not set.
+    // Returns a number between `min` and `max`, or the default value if the setting is missing.
     double number_or(const std::string& name, double default_value, double min = -1e18,
                      double max = 1e18) const {
         const auto setting = settings_.find(name);
@@ -36,11 +36,11 @@
     bool has(const std::string& name) const {
         return settings_.contains(name);
     }
-    // A boolean; false where it is not set.
+    // Reads a boolean, which is false if the setting is missing.
     bool is_enabled(const std::string& name) const {
         return number_or(name, 0) != 0;
     }
-    // A value out of `known`, by its name; required unless there is a default.
+    // Returns the choice that the setting names. The setting is required unless there is a default.
     template <class Value>
     Value one_of(const std::string& name, const std::map<std::string, Value>& choices,
                  const std::optional<std::string>& default_value = std::nullopt) const {
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -5,12 +5,13 @@
 namespace tideline {
 namespace {
 
-// Of what would overload a cold endpoint: so much may come from all sidecars together.
+// All sidecars together may send a cold endpoint this fraction of what would overload it.
 constexpr double kSafeOverloadFraction = 0.6;
-// Even shares of its present capacity that an endpoint on trial or cold gets first.
+// An endpoint on trial or cold is preferred up to this multiple of an even share of its present
+// capacity.
 constexpr double kInitialLoadMultiple = 1.7;
-constexpr Seconds kServedWindow = 10;  // stretch over which served requests are counted
-// Share of the slow start: answers of a younger endpoint are no evidence.
+constexpr Seconds kServedWindow = 10;  // window in which served requests are counted
+// Fraction of the slow start before which the answers of an endpoint are no evidence.
 constexpr double kMinEvidenceAgeFraction = 0.5;
 
 }  // namespace
@@ -37,7 +38,7 @@
     return initial + (1 - initial) * age / settings_.duration;
 }
 
-// Requests are counted, not weighed by work: light ones would always fit.
+// Counts requests and does not weigh them by work, since light requests would then always fit.
 double SlowStart::even_share(Seconds now, std::size_t endpoints) const {
     const Seconds observed_time = std::clamp(now - started_at_, settings_.window, kServedWindow);
     return served_.since(now - observed_time) / observed_time * settings_.window /
@@ -59,7 +60,8 @@
                                double even_share, Seconds now, RandomSource& random) const {
     const double rounding = usage.rounding.value(now, settings_.window, random);
     const double sent = usage.sent.since(now - settings_.window);
-    // About one request from all sidecars together is safe even if nothing else is known.
+    // About one request per window from all sidecars together is safe even if nothing else is
+    // known.
     if (sent == 0 && rounding > 1 - 1 / sidecars_) {
         return true;
     }
--- a/src/policy/tick_timer.hpp
+++ b/src/policy/tick_timer.hpp
@@ -1,5 +1,5 @@
-// The one timer of the policy. A timer that was set can't be cancelled: one that fires before the
-// tick that is wanted now is ignored.
+// The only timer of the policy, which drives its ticks. The timers of the host can't be cancelled,
+// so a timer that fires before the next tick is due is ignored.
 #pragma once
 
 #include "policy/routing_policy.hpp"
@@ -7,12 +7,14 @@
 
 namespace tideline {
 
-constexpr Seconds kTickInterval = 0.02;  // while requests wait; small beside any SLO time
+// The interval of ticks while requests wait in the queue; short compared with any SLO time.
+constexpr Seconds kTickInterval = 0.02;
 
 class TickTimer {
   public:
     explicit TickTimer(Host& host) : host_(host) {}
 
+    // Makes sure that a tick happens within `delay`.
     void fire_within(Seconds now, Seconds delay) {
         if (next_tick_ > now && next_tick_ <= now + delay) {
             return;
@@ -20,11 +22,11 @@
         next_tick_ = now + delay;
         host_.set_timer(delay, kTickTimerId);
     }
-    // Whether the timer that fired is the awaited tick.
+    // Whether the timer that fired is the tick that is due.
     bool is_tick(Seconds now, TimerId timer) const {
         return timer == kTickTimerId && now >= next_tick_ - kTimerTolerance;
     }
-    // After a tick was served: sets the next one.
+    // Sets the timer for the next tick; to be called after each tick.
     void restart(Seconds now, Seconds delay) {
         next_tick_ = kNever;
         fire_within(now, delay);
@@ -32,7 +34,8 @@
 
   private:
     static constexpr TimerId kTickTimerId{1};
-    static constexpr Seconds kTimerTolerance = kTickInterval / 4;  // rounding of the host's timers
+    // Allows for rounding in the host's timers.
+    static constexpr Seconds kTimerTolerance = kTickInterval / 4;
 
     Host& host_;
     Seconds next_tick_ = kNever;
