--- a/tests/policy/concurrency_limit_test.cpp
+++ b/tests/policy/concurrency_limit_test.cpp
@@ -1,4 +1,4 @@
-// The limit of own attempts in flight at one endpoint.
+// Tests of the limit on the attempts in flight at one endpoint.
 #include "policy/concurrency_limit.hpp"
 
 #include <catch2/catch.hpp>
--- a/tests/policy/decision_digest.hpp
+++ b/tests/policy/decision_digest.hpp
@@ -1,4 +1,4 @@
-// A digest of the calls that the routing policy makes.
+// A digest of the calls that the routing policy makes on its host.
 #pragma once
 
 #include <xxhash.h>
--- a/tests/policy/decision_recorder.hpp
+++ b/tests/policy/decision_recorder.hpp
@@ -1,4 +1,4 @@
-// Random runs whose decisions are digested.
+// Random runs that compute a digest of all decisions of the policy.
 #pragma once
 
 #include "decision_digest.hpp"
@@ -6,8 +6,8 @@
 
 namespace tideline::test {
 
-// A random run that digests each call in the order of its arrival, and adds the events that random
-// runs leave out.
+// A random run that adds each call of the policy to a digest, in the order of the calls, and also
+// feeds the policy the events that RandomRun leaves out.
 class Recorder : public RandomRun {
   public:
     explicit Recorder(unsigned seed) : RandomRun(seed), extra_rng_(seed + 1000000) {
@@ -45,7 +45,7 @@
     void build_condemned(Build build, Stage at) override {
         add('m', build.value, at.value);
     }
-    // Digests that something was logged, not the text.
+    // Records that something was logged, but not the text.
     void log_event(const std::string&) override {
         add('n');
     }
@@ -107,7 +107,8 @@
                 now, EndpointId{std::string(1, static_cast<char>('a' + extra_pick(6)))},
                 extra_pick(5), 0.1 * extra_pick(20));
     }
-    // An attempt that may no longer be sent ends as never sent.
+    // Asks about attempts in flight whether they may still be sent; those that may not end as
+    // never_sent.
     void recall_attempts(RoutingPolicy& policy) {
         for (auto& [request, audited] : requests) {
             if (audited.attempts.empty() || audited.answers > 0 || audited.abandoned ||
@@ -125,7 +126,7 @@
             last.ends_at = now;
         }
     }
-    // An request that others have sent before.
+    // Hands over a request that another sidecar has attempted before.
     void hand_over_request(RoutingPolicy& policy) {
         if (listed.empty())
             return;
--- a/tests/policy/endpoint_list_fixture.hpp
+++ b/tests/policy/endpoint_list_fixture.hpp
@@ -1,4 +1,4 @@
-// Shared by the tests of how long an endpoint list is acted on: the bounds and settings.
+// Bounds and settings shared by the tests of how long an endpoint list may be used.
 #pragma once
 
 #include "policy/endpoint_list_freshness.hpp"
@@ -10,7 +10,7 @@
 inline constexpr Seconds kAfterMove = 4;
 inline constexpr Seconds kGrace = 1;
 
-// `pushed`: the list comes without a watch.
+// `pushed`: the list is delivered without a watch.
 inline EndpointListFreshness::Bounds bounds(bool pushed = false) {
     EndpointListFreshness::Bounds bounds;
     bounds.notified_within = kNotifiedWithin;
--- a/tests/policy/exposure_cap_test.cpp
+++ b/tests/policy/exposure_cap_test.cpp
@@ -1,4 +1,4 @@
-// The exposure of a build on trial, and one-way keys.
+// Tests of the exposure of a build on trial, and of one-way keys.
 #include "policy/exposure_cap.hpp"
 
 #include <catch2/catch.hpp>
@@ -8,7 +8,8 @@
 namespace tideline::test {
 namespace {
 
-// A sidecar started at 0 that knows an earlier build 1 and a build 2 in its first stage.
+// A sidecar started at time 0 that lists endpoints of the earlier build 1 and of build 2, which is
+// in its first stage.
 struct Trial {
     explicit Trial(Settings raw = basic_settings()) : settings(std::move(raw)) {
         endpoints.update(0, EndpointListKind::complete, {endpoint("a", 1), endpoint("b", 2)});
--- a/tests/policy/load_balancer_test.cpp
+++ b/tests/policy/load_balancer_test.cpp
@@ -1,4 +1,4 @@
-// The choice of an endpoint.
+// Tests of how an endpoint is picked.
 #include "policy/load_balancer.hpp"
 
 #include <catch2/catch.hpp>
@@ -69,7 +69,8 @@
     for (int i = 0; i < 5000; ++i) {
         ++picked[test.pick()];
     }
-    // The least of exponential draws falls to each in proportion to its weight.
+    // Among exponential draws, each endpoint has the lowest with a probability proportional to its
+    // weight.
     CHECK(picked["a"] == Approx(1000).margin(150));
     CHECK(picked["b"] == Approx(1000).margin(150));
     CHECK(picked["heavy"] == Approx(3000).margin(150));
--- a/tests/policy/load_shedder_test.cpp
+++ b/tests/policy/load_shedder_test.cpp
@@ -1,4 +1,4 @@
-// The share of the requests that is shed while answers come late.
+// Tests of the share of the requests that is shed while answers come late.
 #include "policy/load_shedder.hpp"
 
 #include <catch2/catch.hpp>
--- a/tests/policy/outlier_ejection_test.cpp
+++ b/tests/policy/outlier_ejection_test.cpp
@@ -1,4 +1,4 @@
-// Ejection of one endpoint: when it happens, how long it lasts, and how it ends.
+// Tests of the ejection of one endpoint: when it happens, how long it lasts, and how it ends.
 #include "policy/outlier_ejection.hpp"
 
 #include <catch2/catch.hpp>
--- a/tests/policy/policy_settings_test.cpp
+++ b/tests/policy/policy_settings_test.cpp
@@ -1,4 +1,4 @@
-// The settings of the policy: parsed once, with errors that name the setting.
+// Tests of the settings of the policy: they are read once, and errors name the setting.
 #include "policy/policy_settings.hpp"
 
 #include <catch2/catch.hpp>
--- a/tests/policy/random_runs_test.cpp
+++ b/tests/policy/random_runs_test.cpp
@@ -1,4 +1,4 @@
-// Seeded random runs: the five rules hold after every step.
+// Seeded random runs, in which the rules of the auditor must hold after every step.
 #include "random_runs.hpp"
 
 using namespace tideline;
--- a/tests/policy/release_trial_fixture.hpp
+++ b/tests/policy/release_trial_fixture.hpp
@@ -1,13 +1,12 @@
-// Shared by the tests of the release judge over the routing policy: a release trial under way, and
-// answers counted for both builds.
+// Shared by the tests of release trials: starts a trial and counts answers of both builds.
 #pragma once
 
 #include "policy_fixture.hpp"
 
 namespace tideline::test {
 
-// Endpoints a and b of build 1, n and m of build 2, which is on trial at its first stage under this
-// cap.
+// Lists the endpoints a and b of build 1, and n and m of build 2, which is on trial in its first
+// stage with this cap.
 inline void open_trial(Sidecar& sidecar, double cap = 1.0) {
     sidecar.policy.endpoints_updated(sidecar.now, EndpointListKind::cached,
                                      {endpoint("a", 1), endpoint("b", 1)});
@@ -17,8 +16,8 @@
                                      {endpoint("n", 2), endpoint("m", 2)});
     sidecar.policy.stage_announced(sidecar.now, Build{2}, Stage{0}, Phase::trial, cap, 0);
 }
-// Serves requests until so many answers of the build on trial and of the earlier one were counted;
-// `trial_failures` of the former fail, spread evenly.
+// Serves requests until the given numbers of answers were counted for the build on trial and for
+// the earlier one. Of the former `trial_failures` fail, spread evenly.
 inline void count_answers(Sidecar& sidecar, int trial_answers, int trial_failures,
                           int earlier_answers) {
     int failed = 0;
--- a/tests/policy/retry_policy_test.cpp
+++ b/tests/policy/retry_policy_test.cpp
@@ -1,4 +1,4 @@
-// Where a request may be attempted once more.
+// Tests of where a request may be attempted again.
 #include "policy/retry_policy.hpp"
 
 #include <catch2/catch.hpp>
--- a/tests/policy/same_decisions_test.cpp
+++ b/tests/policy/same_decisions_test.cpp
@@ -1,7 +1,7 @@
-// Shows that a change leaves every decision as it was. Seeded random events are fed to the decision
-// interface, every call that it makes is digested, and the digests are compared with those in
-// decision_digests.txt, a line a seed. With RECORD_DECISIONS set in the environment the file is
-// written instead.
+// Guards against unintended changes of decisions. Seeded random events are fed to the policy, every
+// call that it makes is added to a digest, and the digests are compared with decision_digests.txt,
+// which has one line per seed. If RECORD_DECISIONS is set in the environment, the file is written
+// instead.
 #include <cstdlib>
 #include <fstream>
 #include <iomanip>
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -1,4 +1,4 @@
-// What a freshly started endpoint may get.
+// Tests of what a just started endpoint may get.
 #include "policy/slow_start.hpp"
 
 #include <catch2/catch.hpp>
@@ -8,7 +8,7 @@
 namespace tideline::test {
 namespace {
 
-// Slow start of 4 s from 35% of the capacity; a window of 3 s.
+// A slow start of 4 s from 35% of the capacity, and a window of 3 s.
 const PolicySettings& slow_start_settings() {
     static const PolicySettings settings(basic_settings());
     return settings;
@@ -51,7 +51,7 @@
         slow_start.attempt_sent(usage, 100);
         ++sent;
     }
-    // 0.6 of the 2.5-fold of 35% of ten requests, and a rounding draw below 1.
+    // 0.6 times 2.5 times 35% of ten requests, plus a rounding draw below 1.
     CHECK(sent == Approx(5.25).margin(1));
     CHECK(slow_start.within_own_limit(usage, fresh, 10, 103.1, random));
 }
