--- a/src/policy/endpoint.hpp
+++ b/src/policy/endpoint.hpp
@@ -1,4 +1,4 @@
-// What this sidecar knows of one endpoint.
+// What this sidecar knows about one endpoint.
 #pragma once
 
 #include <algorithm>
@@ -11,14 +11,14 @@
 namespace tideline {
 
 struct Endpoint {
-    EndpointInfo info;  // as last listed
-    int in_flight = 0;  // own attempts
+    EndpointInfo info;  // as in the latest endpoint list
+    int in_flight = 0;  // attempts of this sidecar
     OutlierEjection health;
     ConcurrencyLimit concurrency;
     SlowStartUsage slow_start;
 
-    bool has_free_attempt() const {
-        return in_flight < (health.single_attempt() ? 1 : concurrency.limit());
+    bool has_capacity() const {
+        return in_flight < (health.allows_single_attempt_only() ? 1 : concurrency.limit());
     }
     void attempt_ended() {
         in_flight = std::max(0, in_flight - 1);
--- a/src/policy/pause_detector.hpp
+++ b/src/policy/pause_detector.hpp
@@ -1,5 +1,5 @@
-// Notices that this process was paused: it heard nothing, not even its own ticks, for a while. What
-// timed out meanwhile says nothing of the endpoints.
+// Detects that this process was paused: it got no events, not even its own ticks, for a while.
+// Time-outs during a pause say nothing about the endpoints.
 #pragma once
 
 #include "policy/types.hpp"
@@ -11,8 +11,8 @@
     explicit PauseDetector(Seconds now) : last_event_(now) {}
 
     // To be called first at each event.
-    void event(Seconds now) {
-        if (now > last_event_ + kLongestSilence) {
+    void record_event(Seconds now) {
+        if (now > last_event_ + kMaxEventGap) {
             resumed_at_ = now;
         }
         last_event_ = now;
@@ -20,14 +20,15 @@
     bool paused_since(Seconds time) const {
         return resumed_at_ >= time;
     }
-    // Soon after a pause another may follow; what is queued here would then be answered late.
+    // Whether a pause was so recent that another may follow; requests queued here would then be
+    // answered late.
     bool recently_paused(Seconds now) const {
-        return now < resumed_at_ + kRecentlyPaused;
+        return now < resumed_at_ + kRecentPauseWindow;
     }
 
   private:
-    static constexpr Seconds kLongestSilence = 0.6;  // many ticks
-    static constexpr Seconds kRecentlyPaused = 10;
+    static constexpr Seconds kMaxEventGap = 0.6;  // many tick intervals
+    static constexpr Seconds kRecentPauseWindow = 10;
 
     Seconds last_event_;
     Seconds resumed_at_ = kNever;
