--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -43,13 +43,13 @@
     request_.reset();
     put(std::string(bytes) + pg::ready());
     update_state();
-    resume_later();
+    schedule_read();
 }
 
 // The routing policy answers within its own call, so the next query is read from the loop: reading
 // it here would enter the policy again. The delay keeps a client that sends hundreds of messages
 // at once from starving the others.
-void ClientConnection::resume_later(Seconds delay) {
+void ClientConnection::schedule_read(Seconds delay) {
     if (resume_timer_ != Timers::kNone) {
         return;
     }
@@ -59,12 +59,12 @@
     });
 }
 
-bool ClientConnection::idle() {
+bool ClientConnection::is_idle() {
     return !request_ && !ending_ && in_.empty() && all_written() && !peer_closed();
 }
 
 std::size_t ClientConnection::partial_message_bytes() const {
-    return in_.room() > kInitialBufferBytes && !request_ ? in_.room() : 0;
+    return in_.capacity() > kInitialBufferBytes && !request_ ? in_.capacity() : 0;
 }
 
 void ClientConnection::end() {
@@ -94,8 +94,8 @@
 void ClientConnection::on_received() {
     const std::size_t arrived_bytes = in_.size();
     for (int i = 0; !ending_ && !request_ && !closed() && !in_.empty() && all_written(); ++i) {
-        if (i == kMessagesPerPass) {
-            resume_later(kNextMessagesDelay);
+        if (i == kMaxMessagesPerPass) {
+            schedule_read(kNextMessagesDelay);
             break;
         }
         if (!(started_ ? read_message() : read_startup())) {
@@ -113,14 +113,14 @@
     }
     update_state();
     owner_.partial_message_changed(client_);
-    if (owner_.shutting_down() && !closed() && idle()) {
+    if (owner_.shutting_down() && !closed() && is_idle()) {
         owner_.remove(client_);
     }
 }
 
 void ClientConnection::on_written() {
     if (!in_.empty() && !request_) {
-        resume_later();
+        schedule_read();
     }
     if (!ending_) {
         update_state();
@@ -155,7 +155,7 @@
     return in_.empty() ? State::idle : State::partial_message;
 }
 
-ClientUse ClientConnection::use_in(State state) {
+ClientUse ClientConnection::use_in_state(State state) {
     switch (state) {
         case State::awaiting_startup:
         case State::closing:
@@ -183,11 +183,11 @@
     }
     state_ = state;
     loop_.timers.cancel(state_timer_);
-    owner_.use_changed(client_, use_in(state));
-    limit_time_in(state);
+    owner_.use_changed(client_, use_in_state(state));
+    start_state_timeout(state);
 }
 
-void ClientConnection::limit_time_in(State state) {
+void ClientConnection::start_state_timeout(State state) {
     if (state == State::awaiting_startup) {
         fail_after(kStartupMessageTimeout, ClientError::no_startup_message);
     } else if (state == State::partial_message) {
@@ -201,7 +201,7 @@
     } else if (state == State::idle) {
         owner_.became_idle();
     } else if (state == State::closing) {
-        const Seconds linger = failed_ ? kErrorLingerTime : kClientLingerTime;
+        const Seconds linger = failed_ ? kErrorLingerTimeout : kClientLingerTimeout;
         state_timer_ = loop_.timers.at(clock_now() + linger, [this] {
             state_timer_ = Timers::kNone;
             owner_.remove(client_);
--- a/src/net/client_connection.hpp
+++ b/src/net/client_connection.hpp
@@ -61,13 +61,13 @@
     // Writes the whole answer to the request in flight, without its ReadyForQuery.
     void answer(std::string_view bytes);
     // Reads on from the loop after `delay` seconds.
-    void resume_later(Seconds delay = 0);
+    void schedule_read(Seconds delay = 0);
     // Ends the connection once all that was put is written.
     void end();
     // Ends the connection because incomplete messages take up too much memory.
     void reject_partial_message();
     // Between two requests, with nothing unread or unwritten.
-    bool idle();
+    bool is_idle();
     bool has_request() const {
         return request_.has_value();
     }
@@ -80,7 +80,7 @@
     void on_closed() override;
     // A client that sent more than is read while it waits, and then closed, has to be noticed at
     // once: otherwise its request would be served for nobody.
-    bool closes_unread() const override {
+    bool reports_close_while_full() const override {
         return true;
     }
 
@@ -96,9 +96,9 @@
         closing
     };
     State current_state() const;
-    static ClientUse use_in(State state);
+    static ClientUse use_in_state(State state);
     void update_state();
-    void limit_time_in(State state);
+    void start_state_timeout(State state);
     void fail_after(Seconds delay, ClientError error);
     void fail(ClientError error);
     bool read_startup();
--- a/src/net/client_listener.cpp
+++ b/src/net/client_listener.cpp
@@ -41,7 +41,7 @@
 }
 
 void ClientListener::accept_clients() {
-    for (int i = 0; i < kAcceptsPerPass || shutting_down_; ++i) {
+    for (int i = 0; i < kMaxAcceptsPerPass || shutting_down_; ++i) {
         if (!accept_client()) {
             return;
         }
@@ -89,8 +89,8 @@
     }
 }
 
-void ClientListener::resume_waiting() {
-    connections_.each([](std::uint64_t, auto& connection) { connection->resume_later(); });
+void ClientListener::resume_waiting_clients() {
+    connections_.each([](std::uint64_t, auto& connection) { connection->schedule_read(); });
 }
 
 // Bounds the memory of incomplete messages: hundreds of statements of the largest size, each
@@ -98,8 +98,8 @@
 void ClientListener::partial_message_changed(ClientId client) {
     if (auto* connection = connections_.find(client.value)) {
         const std::size_t bytes = (*connection)->partial_message_bytes();
-        partial_bytes_ += bytes - partial_bytes_of_[client.value];
-        partial_bytes_of_[client.value] = bytes;
+        partial_bytes_ += bytes - partial_bytes_by_client_[client.value];
+        partial_bytes_by_client_[client.value] = bytes;
     }
     while (partial_bytes_ > kMaxPartialMessageBytes) {
         reject_longest_partial_message();
@@ -109,7 +109,7 @@
 // Of the clients in the middle of a message: the one that has been for longest.
 void ClientListener::reject_longest_partial_message() {
     std::uint64_t longest = 0;
-    for (const auto& [client, bytes] : partial_bytes_of_) {
+    for (const auto& [client, bytes] : partial_bytes_by_client_) {
         if (bytes == 0) {
             continue;
         }
@@ -117,7 +117,7 @@
             longest = client;
         }
     }
-    partial_bytes_ -= std::exchange(partial_bytes_of_[longest], 0);
+    partial_bytes_ -= std::exchange(partial_bytes_by_client_[longest], 0);
     (*connections_.find(longest))->reject_partial_message();
 }
 
@@ -127,11 +127,11 @@
     if (close_idle_timer_ != Timers::kNone || uses_.idle_count() <= owner_.max_idle_clients()) {
         return;
     }
-    close_idle_timer_ = loop_.timers.at(clock_now() + kClientSettleTime, [this] {
+    close_idle_timer_ = loop_.timers.at(clock_now() + kClientSettleDelay, [this] {
         close_idle_timer_ = Timers::kNone;
         bool closed = true;
         while (closed && uses_.idle_count() > owner_.max_idle_clients()) {
-            closed = close_one(kClientSettleTime, ClientUse::idle);
+            closed = close_one_client(kClientSettleDelay, ClientUse::idle);
         }
         close_excess_idle_later();
     });
@@ -151,20 +151,20 @@
 
 bool ClientListener::can_close(const ClientUseTable::Candidate& candidate, Seconds idle_for) {
     const auto [use, since, client] = candidate;
-    Seconds least = idle_for;
+    Seconds min_idle = idle_for;
     if (use == ClientUse::silent) {
-        least = kClientSettleTime;
+        min_idle = kClientSettleDelay;
     } else if (use == ClientUse::partial_message) {
-        least = kPartialMessageTimeout / 4;
+        min_idle = kPartialMessageTimeout / 4;
     }
-    if (clock_now() - since < least) {
+    if (clock_now() - since < min_idle) {
         return false;
     }
-    return use != ClientUse::idle || (*connections_.find(client))->idle();
+    return use != ClientUse::idle || (*connections_.find(client))->is_idle();
 }
 
 // Without this, clients that send nothing, or only half of a message, would keep all others out.
-bool ClientListener::close_one(Seconds idle_for, ClientUse from) {
+bool ClientListener::close_one_client(Seconds idle_for, ClientUse from) {
     const auto& candidates = uses_.candidates();
     for (auto it = candidates.lower_bound({from, 0, 0}); it != candidates.end(); ++it) {
         if (!can_close(*it, idle_for)) {
@@ -182,7 +182,7 @@
 // An idle connection, with nothing unread, is closed whole: the client then learns that a query
 // which crosses the close was not read. If only one direction were closed, such a query would be
 // read and never answered.
-void ClientListener::shut_down(bool give_up_stalled) {
+void ClientListener::shut_down(bool close_stalled) {
     if (!shutting_down_) {
         shutting_down_ = true;
         accept_clients();
@@ -190,9 +190,9 @@
     }
     std::vector<ClientId> idle;
     connections_.each([&](std::uint64_t client, auto& connection) {
-        if (connection->idle()) {
+        if (connection->is_idle()) {
             idle.push_back(ClientId{client});
-        } else if (give_up_stalled && !connection->has_request()) {
+        } else if (close_stalled && !connection->has_request()) {
             connection->end();
         }
     });
@@ -207,8 +207,8 @@
         return;
     }
     uses_.erase(client);
-    partial_bytes_ -= partial_bytes_of_[client.value];
-    partial_bytes_of_.erase(client.value);
+    partial_bytes_ -= partial_bytes_by_client_[client.value];
+    partial_bytes_by_client_.erase(client.value);
     (*connection)->close();
     loop_.destroy_after_pass(std::move(*connection));
     connections_.remove(client.value);
--- a/src/net/client_listener.hpp
+++ b/src/net/client_listener.hpp
@@ -37,15 +37,15 @@
     // Nothing happens if the client has gone.
     void answer(ClientId client, std::string_view bytes);
     // Reads on at clients whose queries waited until this sidecar could serve.
-    void resume_waiting();
+    void resume_waiting_clients();
     // Closes one connection that is of no use, or has been idle for at least `idle_for` seconds.
     // False if there is none.
-    bool close_one(Seconds idle_for) {
-        return close_one(idle_for, ClientUse::silent);
+    bool close_one_client(Seconds idle_for) {
+        return close_one_client(idle_for, ClientUse::silent);
     }
     // Accepts no more clients; closes each as soon as it is between two requests. With
-    // `give_up_stalled` also those that are in the middle of sending a request.
-    void shut_down(bool give_up_stalled);
+    // `close_stalled` also those that are in the middle of sending a request.
+    void shut_down(bool close_stalled);
     std::size_t size() const {
         return connections_.size();
     }
@@ -70,7 +70,7 @@
     }
     void remove(ClientId client) override;
 
-    bool close_one(Seconds idle_for, ClientUse from);
+    bool close_one_client(Seconds idle_for, ClientUse from);
     bool can_close(const ClientUseTable::Candidate& candidate, Seconds idle_for);
     void close_excess_idle_later();
     void reject_longest_partial_message();
@@ -84,8 +84,8 @@
     const Seconds longest_time_limit_;
     Slots<std::unique_ptr<ClientConnection>> connections_;
     ClientUseTable uses_;
-    std::map<std::uint64_t, std::size_t> partial_bytes_of_;  // by client
-    std::size_t partial_bytes_ = 0;                          // of all clients
+    std::map<std::uint64_t, std::size_t> partial_bytes_by_client_;  // by client
+    std::size_t partial_bytes_ = 0;                                 // of all clients
     std::map<ClientError, long> rejections_by_error_;
     long closed_for_room_ = 0;
     FileDescriptor listening_;
--- a/src/net/clock_offset.hpp
+++ b/src/net/clock_offset.hpp
@@ -11,7 +11,7 @@
 // Readings that are tried for one that nothing interrupted.
 constexpr int kMaxClockReadings = 32;
 // Two readings of one clock so close together, s, enclose one of the other well enough.
-constexpr Seconds kTightClockReading = 20e-6;
+constexpr Seconds kTightClockReadingThreshold = 20e-6;
 
 // The process may lose its core between reading one clock and the other: that would shift all its
 // times for good. So the reading that the steady clock encloses most tightly counts. Both arguments
@@ -20,7 +20,7 @@
 Seconds clock_offset(ReadSteady read_steady, ReadWall read_wall) {
     Seconds tightest = std::numeric_limits<Seconds>::infinity();
     Seconds offset = 0;
-    for (int i = 0; i < kMaxClockReadings && tightest > kTightClockReading; ++i) {
+    for (int i = 0; i < kMaxClockReadings && tightest > kTightClockReadingThreshold; ++i) {
         const Seconds before = read_steady();
         const Seconds wall = read_wall();
         const Seconds after = read_steady();
--- a/src/net/discovery_client.cpp
+++ b/src/net/discovery_client.cpp
@@ -97,7 +97,7 @@
         make_current(which);
         confirm(which, accepted_at);
     };
-    callbacks.settle_time = kAcceptedCallSettleTime;
+    callbacks.settle_time = kAcceptedCallSettleDelay;
     watches_[which].begin(fmt::format("/v1/servers?follow=1&since={}", list_.revision()),
                           kWatchFirstObjectTimeout, kWatchSilenceTimeout, callbacks);
 }
--- a/src/net/endpoint_connection.cpp
+++ b/src/net/endpoint_connection.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // SQLSTATE of an endpoint that has too much to do.
-constexpr std::string_view kOverloaded = "53300";
+constexpr std::string_view kOverloadedSqlstate = "53300";
 // The parameter in which endpoints report their load.
 constexpr std::string_view kLoadParameter = "vitals";
 
@@ -29,7 +29,7 @@
     put(pg::query(statement));
 }
 
-bool EndpointConnection::clean() {
+bool EndpointConnection::is_reusable() {
     return state_ == State::idle && in_.empty() && all_written() && !peer_closed();
 }
 
@@ -43,24 +43,24 @@
 void EndpointConnection::on_received() {
     while (!closed() && !in_.empty()) {
         if (state_ == State::idle && holds_answer_) {
-            take_response_behind_held();
+            replace_held_answer();
         }
         switch (read_message()) {
             case Step::incomplete:
                 return;
             case Step::malformed:
                 return fail_malformed();
-            case Step::taken:
+            case Step::handled:
                 break;
         }
         if (!closed() && state_ == State::ready) {
-            response_read();
+            finish_response();
         }
     }
 }
 
 // The response is read whole, and perhaps more.
-void EndpointConnection::response_read() {
+void EndpointConnection::finish_response() {
     state_ = State::idle;
     acknowledge_at_once();
     if (holds_answer_) {
@@ -69,7 +69,7 @@
         }
         return;
     }
-    if (last_response_ || !clean()) {
+    if (last_response_ || !is_reusable()) {
         return fail_malformed();
     }
     owner_.connection_free(number_);
@@ -77,7 +77,7 @@
 
 // What was held was a duplicate of the answer before: the endpoint answers in order. No further
 // statement is sent on this connection.
-void EndpointConnection::take_response_behind_held() {
+void EndpointConnection::replace_held_answer() {
     holds_answer_ = false;
     last_response_ = true;
     state_ = State::sent;
@@ -101,13 +101,13 @@
         case pg::Read::whole:
             break;
     }
-    if (!take(type, body, bytes.substr(0, message_size))) {
+    if (!handle_message(type, body, bytes.substr(0, message_size))) {
         return Step::malformed;
     }
     if (!closed()) {
         in_.drop(message_size);
     }
-    return Step::taken;
+    return Step::handled;
 }
 
 // A statement may have run only if its last byte was written.
@@ -148,7 +148,8 @@
 }
 
 // False if the message is malformed.
-bool EndpointConnection::take(char type, std::string_view body, std::string_view message) {
+bool EndpointConnection::handle_message(char type, std::string_view body,
+                                        std::string_view message) {
     switch (type) {
         case 'N':
         case 'K':
@@ -156,7 +157,7 @@
         case 'R':
             return body == std::string_view("\0\0\0\0", 4);
         case 'S':
-            take_parameter(body);
+            handle_parameter(body);
             return true;
         case 'Z':
             if (body != "I") {
@@ -177,15 +178,15 @@
                 return false;
             }
             answer_.append(message);
-            take_answer();
+            complete_answer();
             return true;
         default:
-            return take_error(body);
+            return handle_error(body);
     }
 }
 
 // An unreadable parameter costs the connection, not the answer that it came with.
-void EndpointConnection::take_parameter(std::string_view body) {
+void EndpointConnection::handle_parameter(std::string_view body) {
     const auto parameter = pg::parameter(body);
     if (!parameter) {
         last_response_ = true;
@@ -194,13 +195,13 @@
     }
 }
 
-bool EndpointConnection::take_error(std::string_view body) {
+bool EndpointConnection::handle_error(std::string_view body) {
     constexpr std::size_t kSqlstateSize = 5;
     const auto sqlstate = pg::error_field(body, 'C');
     if (sqlstate.size() != kSqlstateSize) {
         return false;
     }
-    const bool overloaded = sqlstate == kOverloaded;
+    const bool overloaded = sqlstate == kOverloadedSqlstate;
     if (state_ == State::starting) {
         owner_.connection_failed(number_, overloaded ? Outcome::overloaded : Outcome::unreachable);
     } else if (overloaded) {
@@ -215,7 +216,7 @@
 
 // An answer that equals the one before it on this connection may be a duplicate of that, which came
 // after the next statement was written. It is held, unless endpoints are known to repeat it.
-void EndpointConnection::take_answer() {
+void EndpointConnection::complete_answer() {
     const AnswerDigest digest = digest_of(answer_);
     const bool may_be_duplicate =
         previous_answer_ == digest && !last_response_ && !owner_.is_repeated(digest);
@@ -228,7 +229,7 @@
     end_exchange(Outcome::succeeded);
 }
 
-AnswerDigest EndpointConnection::deliver_held() {
+AnswerDigest EndpointConnection::deliver_held_answer() {
     holds_answer_ = false;
     end_exchange(Outcome::succeeded);
     state_ = State::idle;
@@ -236,11 +237,11 @@
 }
 
 void EndpointConnection::end_exchange(Outcome outcome) {
-    const std::uint64_t ending = take_exchange();
+    const std::uint64_t exchange = detach_exchange();
     state_ = State::completed;
     const std::string answer = std::exchange(answer_, {});
     const LoadReport load = load_;
-    owner_.exchange_ended(ending, outcome, load, answer);
+    owner_.exchange_ended(exchange, outcome, load, answer);
 }
 
 }  // namespace tideline::net
--- a/src/net/endpoint_connection.hpp
+++ b/src/net/endpoint_connection.hpp
@@ -44,16 +44,16 @@
         return state_ != State::starting;
     }
     // Ends the exchange under way with the answer that is held. Returns its digest.
-    AnswerDigest deliver_held();
+    AnswerDigest deliver_held_answer();
     // Whether it can take a statement: nothing is under way, unread, or unwritten, and the peer has
     // not closed it.
-    bool clean();
+    bool is_reusable();
     // The exchange under way; 0: none.
     std::uint64_t exchange() const {
         return exchange_;
     }
     // Forgets the exchange under way without reporting it, and returns it.
-    std::uint64_t take_exchange() {
+    std::uint64_t detach_exchange() {
         return std::exchange(exchange_, 0);
     }
 
@@ -65,15 +65,15 @@
   private:
     // What has been read of the response last.
     enum class State { starting, idle, sent, row_description, row, completed, ready };
-    enum class Step { incomplete, taken, malformed };
+    enum class Step { incomplete, handled, malformed };
     Step read_message();
     bool can_begin_next(std::string_view bytes) const;
-    bool take(char type, std::string_view body, std::string_view message);
-    void take_parameter(std::string_view body);
-    bool take_error(std::string_view body);
-    void take_answer();
-    void response_read();
-    void take_response_behind_held();
+    bool handle_message(char type, std::string_view body, std::string_view message);
+    void handle_parameter(std::string_view body);
+    bool handle_error(std::string_view body);
+    void complete_answer();
+    void finish_response();
+    void replace_held_answer();
     void end_exchange(Outcome outcome);
     void fail_malformed();
 
--- a/src/net/endpoint_pool.cpp
+++ b/src/net/endpoint_pool.cpp
@@ -13,11 +13,12 @@
 
 }  // namespace
 
-EndpointPool::EndpointPool(EventLoop& loop, Owner& owner, Seconds connect_time, Seconds keep_idle)
+EndpointPool::EndpointPool(EventLoop& loop, Owner& owner, Seconds connect_timeout,
+                           Seconds idle_timeout)
     : loop_(loop),
       owner_(owner),
-      connect_time_(connect_time),
-      keep_idle_(kIdleTimeoutFactor * keep_idle) {}
+      connect_timeout_(connect_timeout),
+      idle_timeout_(kIdleTimeoutFactor * idle_timeout) {}
 EndpointPool::~EndpointPool() {
     connections_.each(
         [&](std::uint64_t, auto& connection) { loop_.timers.cancel(connection->timer); });
@@ -25,31 +26,31 @@
 
 // --- Endpoints
 
-void EndpointPool::update(EndpointListKind kind, const std::vector<EndpointInfo>& lines,
-                          const std::vector<Address>& addresses) {
+void EndpointPool::apply_list(EndpointListKind kind, const std::vector<EndpointInfo>& lines,
+                              const std::vector<Address>& addresses) {
     if (kind != EndpointListKind::changes) {
         for (auto& [id, endpoint] : endpoints_) {
             endpoint.listed = false;
         }
     }
     for (std::size_t i = 0; i < lines.size(); ++i) {
-        apply_line(lines[i], addresses[i]);
+        apply_entry(lines[i], addresses[i]);
     }
     close_outdated_connections();
     for (auto& [id, endpoint] : endpoints_) {
         if (endpoint.listed) {
-            open_for_waiting(id, endpoint);
+            open_connections_for_waiting(id, endpoint);
         }
     }
     // Ids of endpoints don't return, so the table would grow without bound: what is no longer
     // listed is forgotten with its last connection.
     std::erase_if(endpoints_, [](const auto& entry) {
         const Endpoint& endpoint = entry.second;
-        return !endpoint.listed && endpoint.waiting.empty() && endpoint.connections == 0;
+        return !endpoint.listed && endpoint.waiting.empty() && endpoint.connection_count == 0;
     });
 }
 
-void EndpointPool::apply_line(const EndpointInfo& line, const Address& address) {
+void EndpointPool::apply_entry(const EndpointInfo& line, const Address& address) {
     Endpoint& endpoint = endpoints_[line.id];
     if (endpoint.address != address || endpoint.build != line.build ||
         endpoint.started != line.started) {
@@ -81,18 +82,18 @@
     exchange.endpoint = endpoint;
     exchange.began = clock_now();
     exchange.stop_at = stop_at;
-    begin(exchange);
+    begin_exchange(exchange);
 }
 
-void EndpointPool::probe(const EndpointId& endpoint) {
+void EndpointPool::begin_health_check(const EndpointId& endpoint) {
     Exchange exchange;
     exchange.endpoint = endpoint;
     exchange.began = clock_now();
-    exchange.stop_at = exchange.began + connect_time_;
-    begin(exchange);
+    exchange.stop_at = exchange.began + connect_timeout_;
+    begin_exchange(exchange);
 }
 
-void EndpointPool::begin(const Exchange& exchange) {
+void EndpointPool::begin_exchange(const Exchange& exchange) {
     const std::uint64_t number = exchanges_.add(exchange);
     const bool in_time = !exchange.request || exchange.stop_at > exchange.began;
     const bool can_begin = in_time && endpoints_.contains(exchange.endpoint);
@@ -102,26 +103,26 @@
         return;
     }
     exchanges_.find(number)->timer =
-        loop_.timers.at(exchange.stop_at, [this, number] { time_out(number); });
-    find_connection(number);
+        loop_.timers.at(exchange.stop_at, [this, number] { time_out_exchange(number); });
+    assign_connection(number);
 }
 
-void EndpointPool::find_connection(std::uint64_t number) {
+void EndpointPool::assign_connection(std::uint64_t number) {
     const EndpointId id = exchanges_.find(number)->endpoint;
     Endpoint& endpoint = endpoints_[id];
     while (!endpoint.idle.empty()) {
         const std::uint64_t connection = endpoint.idle.back();
-        if ((*connections_.find(connection))->link->clean()) {
+        if ((*connections_.find(connection))->link->is_reusable()) {
             endpoint.idle.pop_back();
-            return run(number, connection);
+            return send_exchange(number, connection);
         }
         close_connection(connection);
     }
     endpoint.waiting.push_back(number);
-    open_for_waiting(id, endpoint);
+    open_connections_for_waiting(id, endpoint);
 }
 
-void EndpointPool::run(std::uint64_t exchange_number, std::uint64_t connection_number) {
+void EndpointPool::send_exchange(std::uint64_t exchange_number, std::uint64_t connection_number) {
     Exchange& exchange = *exchanges_.find(exchange_number);
     PooledConnection& connection = **connections_.find(connection_number);
     exchange.connection = connection_number;
@@ -153,7 +154,7 @@
 }
 
 // A statement that was not written whole never ran.
-void EndpointPool::time_out(std::uint64_t number) {
+void EndpointPool::time_out_exchange(std::uint64_t number) {
     Exchange* exchange = exchanges_.find(number);
     if (exchange == nullptr) {
         return;
@@ -165,7 +166,7 @@
         if (used.all_written()) {
             outcome = Outcome::timed_out;
         }
-        used.take_exchange();
+        used.detach_exchange();
         close_connection(connection);
     } else if (const auto it = endpoints_.find(exchange->endpoint); it != endpoints_.end()) {
         std::erase(it->second.waiting, number);
@@ -176,7 +177,7 @@
 // While an attempt waits for a connection its endpoint may begin to drain, or the cap of its build
 // may fall. So the routing policy is asked again; what may no longer go out ends as never sent,
 // reported from the loop.
-void EndpointPool::recall_waiting(Endpoint& endpoint) {
+void EndpointPool::recall_waiting_exchanges(Endpoint& endpoint) {
     std::erase_if(endpoint.waiting, [&](std::uint64_t number) {
         const Exchange& exchange = *exchanges_.find(number);
         const bool may_go = exchange.request
@@ -194,9 +195,9 @@
     });
 }
 
-void EndpointPool::review_waiting() {
+void EndpointPool::review_waiting_exchanges() {
     for (auto& [id, endpoint] : endpoints_) {
-        recall_waiting(endpoint);
+        recall_waiting_exchanges(endpoint);
     }
 }
 
@@ -204,7 +205,7 @@
 
 // Connections in their quiet time are counted on: they are free sooner than a new one would be up,
 // and spare the endpoint a handshake.
-void EndpointPool::open_for_waiting(const EndpointId& id, Endpoint& endpoint) {
+void EndpointPool::open_connections_for_waiting(const EndpointId& id, Endpoint& endpoint) {
     while (endpoint.opening + endpoint.quiet < static_cast<int>(endpoint.waiting.size())) {
         open_connection(id, endpoint);
     }
@@ -218,13 +219,13 @@
     connection.generation = endpoint.generation;
     connection.link = std::make_unique<EndpointConnection>(loop_, connection_owner, number);
     ++endpoint.opening;
-    ++endpoint.connections;
+    ++endpoint.connection_count;
     const auto fail = [this, number] { connection_failed(number, Outcome::unreachable); };
     if (!owner_.has_room_for_connection()) {
         connection.timer = loop_.timers.soon(fail);
         return;
     }
-    connection.timer = loop_.timers.at(clock_now() + connect_time_, fail);
+    connection.timer = loop_.timers.at(clock_now() + connect_timeout_, fail);
     connection.link->open(endpoint.address);
 }
 
@@ -237,7 +238,7 @@
     std::erase(endpoint.idle, number);
     endpoint.opening -= (*connection)->opening ? 1 : 0;
     endpoint.quiet -= (*connection)->quiet ? 1 : 0;
-    --endpoint.connections;
+    --endpoint.connection_count;
     loop_.timers.cancel((*connection)->timer);
     (*connection)->link->close();
     loop_.destroy_after_pass(std::move((*connection)->link));
@@ -254,13 +255,13 @@
     if (!connection.opening) {
         connection.quiet = true;
         ++endpoint.quiet;
-        connection.timer = loop_.timers.at(clock_now() + kDuplicateAnswerQuietTime,
-                                           [this, number] { use_connection(number); });
+        connection.timer = loop_.timers.at(clock_now() + kDuplicateAnswerQuietWindow,
+                                           [this, number] { reuse_connection(number); });
         return;
     }
     connection.opening = false;
     --endpoint.opening;
-    use_connection(number);
+    reuse_connection(number);
 }
 
 // The endpoint may be about to answer: what comes now takes the place of the held answer.
@@ -270,45 +271,45 @@
     const Exchange* exchange = exchanges_.find(connection.link->exchange());
     const Seconds left = exchange ? exchange->stop_at - now : 0;
     loop_.timers.cancel(connection.timer);
-    connection.timer = loop_.timers.at(now + std::min(kDuplicateAnswerHoldTime, left / 2),
-                                       [this, number] { deliver_held(number); });
+    connection.timer = loop_.timers.at(now + std::min(kDuplicateAnswerHoldTimeout, left / 2),
+                                       [this, number] { deliver_held_answer(number); });
 }
 
-void EndpointPool::deliver_held(std::uint64_t number) {
+void EndpointPool::deliver_held_answer(std::uint64_t number) {
     PooledConnection& connection = **connections_.find(number);
     connection.timer = Timers::kNone;
-    if (!connection.link->clean()) {
+    if (!connection.link->is_reusable()) {
         return;  // something is there to be read
     }
-    repeated_answers_.add(connection.link->deliver_held());
+    repeated_answers_.add(connection.link->deliver_held_answer());
     if (connections_.find(number)) {
         connection_free(number);
     }
 }
 
 // Gives the connection to the exchange that has waited for longest, or keeps it as idle.
-void EndpointPool::use_connection(std::uint64_t number) {
+void EndpointPool::reuse_connection(std::uint64_t number) {
     PooledConnection& connection = **connections_.find(number);
     const EndpointId id = connection.endpoint;
     Endpoint& endpoint = endpoints_[id];
     endpoint.quiet -= connection.quiet ? 1 : 0;
     connection.quiet = false;
     loop_.timers.cancel(connection.timer);
-    recall_waiting(endpoint);
+    recall_waiting_exchanges(endpoint);
     const bool outdated = !endpoint.listed || endpoint.generation != connection.generation;
-    if (outdated || !connection.link->clean()) {
+    if (outdated || !connection.link->is_reusable()) {
         close_connection(number);
-        open_for_waiting(id, endpoint);
+        open_connections_for_waiting(id, endpoint);
         return;
     }
     if (!endpoint.waiting.empty()) {
         const std::uint64_t exchange = endpoint.waiting.front();
         endpoint.waiting.pop_front();
-        return run(exchange, number);
+        return send_exchange(exchange, number);
     }
     connection.idle_since = clock_now();
     endpoint.idle.push_back(number);
-    connection.timer = loop_.timers.at(connection.idle_since + keep_idle_,
+    connection.timer = loop_.timers.at(connection.idle_since + idle_timeout_,
                                        [this, number] { close_connection(number); });
 }
 
@@ -317,7 +318,7 @@
     if (!found) {
         return;
     }
-    const std::uint64_t exchange = (*found)->link->take_exchange();
+    const std::uint64_t exchange = (*found)->link->detach_exchange();
     const bool was_opening = (*found)->opening;
     const EndpointId id = (*found)->endpoint;
     close_connection(number);
@@ -326,7 +327,8 @@
     }
     Endpoint& endpoint = endpoints_[id];
     if (!was_opening) {
-        return open_for_waiting(id, endpoint);  // a waiting exchange may have counted on it
+        return open_connections_for_waiting(id,
+                                            endpoint);  // a waiting exchange may have counted on it
     }
     // One of the waiting exchanges loses the connection that it counted on.
     if (static_cast<int>(endpoint.waiting.size()) <= endpoint.opening + endpoint.quiet) {
--- a/src/net/endpoint_pool.hpp
+++ b/src/net/endpoint_pool.hpp
@@ -35,25 +35,25 @@
                                         const LoadReport& load) = 0;
     };
 
-    // `connect_time`: s, for a connection and for a health check. `keep_idle`: s, after which
+    // `connect_timeout`: s, for a connection and for a health check. `idle_timeout`: s, after which
     // endpoints close an idle connection. `owner` outlives the pool.
-    EndpointPool(EventLoop& loop, Owner& owner, Seconds connect_time, Seconds keep_idle);
+    EndpointPool(EventLoop& loop, Owner& owner, Seconds connect_timeout, Seconds idle_timeout);
     ~EndpointPool() override;
     EndpointPool(const EndpointPool&) = delete;
     EndpointPool& operator=(const EndpointPool&) = delete;
 
     // Applies a list; `addresses` holds one for each line.
-    void update(EndpointListKind kind, const std::vector<EndpointInfo>& lines,
-                const std::vector<Address>& addresses);
+    void apply_list(EndpointListKind kind, const std::vector<EndpointInfo>& lines,
+                    const std::vector<Address>& addresses);
     // Asks again whether attempts that wait for a connection may still go out.
-    void review_waiting();
+    void review_waiting_exchanges();
     // Both begin at once; the outcome is reported from the loop, never within the call.
     void attempt(RequestId request, AttemptNumber number, const EndpointId& endpoint,
                  Seconds stop_at);
-    void probe(const EndpointId& endpoint);
+    void begin_health_check(const EndpointId& endpoint);
     // Closes the connection that has been idle for longest; false if there is none.
     bool close_idle_connection();
-    std::size_t connections() const {
+    std::size_t connection_count() const {
         return connections_.size();
     }
 
@@ -79,7 +79,7 @@
         std::deque<std::uint64_t> idle;     // connections, the one used last at the back
         int opening = 0;                    // connections that are not up yet
         int quiet = 0;                      // connections in their quiet time
-        int connections = 0;
+        int connection_count = 0;
     };
 
     struct PooledConnection {
@@ -102,23 +102,23 @@
     }
     void answer_held(std::uint64_t connection) override;
 
-    void deliver_held(std::uint64_t connection);
-    void apply_line(const EndpointInfo& line, const Address& address);
+    void deliver_held_answer(std::uint64_t connection);
+    void apply_entry(const EndpointInfo& line, const Address& address);
     void close_outdated_connections();
-    void begin(const Exchange& exchange);
-    void run(std::uint64_t exchange, std::uint64_t connection);
-    void find_connection(std::uint64_t exchange);
+    void begin_exchange(const Exchange& exchange);
+    void send_exchange(std::uint64_t exchange, std::uint64_t connection);
+    void assign_connection(std::uint64_t exchange);
     void open_connection(const EndpointId& id, Endpoint& endpoint);
-    void open_for_waiting(const EndpointId& id, Endpoint& endpoint);
-    void time_out(std::uint64_t exchange);
-    void recall_waiting(Endpoint& endpoint);
+    void open_connections_for_waiting(const EndpointId& id, Endpoint& endpoint);
+    void time_out_exchange(std::uint64_t exchange);
+    void recall_waiting_exchanges(Endpoint& endpoint);
     void close_connection(std::uint64_t connection);
-    void use_connection(std::uint64_t connection);
+    void reuse_connection(std::uint64_t connection);
 
     EventLoop& loop_;
     Owner& owner_;
-    const Seconds connect_time_;
-    const Seconds keep_idle_;
+    const Seconds connect_timeout_;
+    const Seconds idle_timeout_;
     std::map<EndpointId, Endpoint> endpoints_;
     Slots<Exchange> exchanges_;
     RepeatedAnswers repeated_answers_;
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -37,7 +37,7 @@
     check_invariant(watched.watcher == nullptr, "a descriptor is watched once");
     watched = {watcher, polled_.size(), ++uses_};
     polled_.push_back({fd, events, 0});
-    peak_ = std::max(peak_, polled_.size());
+    peak_watched_count_ = std::max(peak_watched_count_, polled_.size());
 }
 
 void EventLoop::set_events(int fd, short events) {
@@ -84,7 +84,7 @@
         // meanwhile. A request that is read first would be routed by outdated information.
         std::stable_partition(ready.begin(), ready.end(), [&](const Ready& descriptor) {
             const WatchedDescriptor& watched = watched_[static_cast<std::size_t>(descriptor.fd)];
-            return watched.watcher != nullptr && watched.watcher->urgent();
+            return watched.watcher != nullptr && watched.watcher->is_urgent();
         });
         for (const Ready& descriptor : ready) {
             const WatchedDescriptor& watched = watched_[static_cast<std::size_t>(descriptor.fd)];
@@ -98,10 +98,10 @@
     const Seconds now = clock_now();
     const bool late = now > polled_at + kSuspensionThreshold ||
                       polled_at > begun + ms * 1e-3 + kSuspensionThreshold;
-    if (!late || polled_again_) {
+    if (!late || timers_deferred_) {
         timers.run(now);
     }
-    polled_again_ = late && !polled_again_;
+    timers_deferred_ = late && !timers_deferred_;
     destroyed_after_pass_.clear();
 }
 
--- a/src/net/event_loop.hpp
+++ b/src/net/event_loop.hpp
@@ -20,7 +20,7 @@
     // `events`: of poll(2).
     virtual void ready(short events) = 0;
     // Whether it is read before others that are ready in the same pass.
-    virtual bool urgent() const {
+    virtual bool is_urgent() const {
         return false;
     }
 };
@@ -51,11 +51,11 @@
         return arrived_after_;
     }
     // Descriptors that are watched, now and at most so far.
-    std::size_t watched() const {
+    std::size_t watched_count() const {
         return polled_.size();
     }
-    std::size_t peak_watched() const {
-        return peak_;
+    std::size_t peak_watched_count() const {
+        return peak_watched_count_;
     }
 
     Timers timers;
@@ -70,8 +70,8 @@
     std::vector<WatchedDescriptor> watched_;  // by descriptor
     std::vector<std::unique_ptr<Watcher>> destroyed_after_pass_;
     std::uint64_t uses_ = 0;
-    std::size_t peak_ = 0;
-    bool polled_again_ = false;
+    std::size_t peak_watched_count_ = 0;
+    bool timers_deferred_ = false;
     Seconds polled_at_ = clock_now();
     Seconds arrived_after_ = polled_at_;
 };
--- a/src/net/http_reader.cpp
+++ b/src/net/http_reader.cpp
@@ -11,11 +11,11 @@
 
 constexpr std::string_view kVersion = "HTTP/1.";
 
-std::string lower(std::string_view text) {
-    std::string small(text);
-    std::transform(small.begin(), small.end(), small.begin(),
+std::string to_lower(std::string_view text) {
+    std::string lowered(text);
+    std::transform(lowered.begin(), lowered.end(), lowered.begin(),
                    [](unsigned char c) { return static_cast<char>(std::tolower(c)); });
-    return small;
+    return lowered;
 }
 bool read_number(std::string_view text, int base, unsigned long long& value) {
     const char* end = text.data() + text.size();
@@ -55,10 +55,10 @@
         if (colon == std::string_view::npos) {
             continue;
         }
-        const std::string name = lower(line.substr(0, colon));
+        const std::string name = to_lower(line.substr(0, colon));
         const std::string_view value = trimmed(line.substr(colon + 1));
         if (name == "transfer-encoding") {
-            chunked = lower(value) == "chunked";
+            chunked = to_lower(value) == "chunked";
         }
         if (name == "content-length") {
             if (!read_number(value, 10, remaining_)) {
@@ -120,8 +120,8 @@
     constexpr std::string_view kEndOfHead = "\r\n\r\n";
     const auto end = bytes.find(kEndOfHead);
     if (end == std::string_view::npos) {
-        const std::string_view begun = bytes.substr(0, kVersion.size());
-        if (bytes.size() > kMaxHttpHeadBytes || !kVersion.starts_with(begun)) {
+        const std::string_view prefix = bytes.substr(0, kVersion.size());
+        if (bytes.size() > kMaxHttpHeadBytes || !kVersion.starts_with(prefix)) {
             state_ = State::malformed;
         }
         return 0;
--- a/src/net/http_stream_call.cpp
+++ b/src/net/http_stream_call.cpp
@@ -67,7 +67,7 @@
     Stream(const Stream&) = delete;
     Stream& operator=(const Stream&) = delete;
     // What was reported meanwhile is read before clients' requests that depend on it.
-    bool urgent() const override {
+    bool is_urgent() const override {
         return true;
     }
 
--- a/src/net/limits.hpp
+++ b/src/net/limits.hpp
@@ -27,7 +27,7 @@
 // Read from one connection in one pass of the loop, so that no peer starves the others.
 constexpr std::size_t kMaxReadBytesPerPass = 16 * 1024;
 // Messages of one client handled in one pass of the loop, for the same reason.
-constexpr int kMessagesPerPass = 16;
+constexpr int kMaxMessagesPerPass = 16;
 // Incomplete messages of all clients together; the process may use 32 MB.
 constexpr std::size_t kMaxPartialMessageBytes = 4 * 1024 * 1024;
 // The head of an HTTP response.
@@ -50,7 +50,7 @@
 // Descriptors reserved for discovery, platform, log, and what opens within one pass.
 constexpr int kReservedDescriptors = 24;
 // Connections accepted in one pass of the loop, so that accepting does not delay answers.
-constexpr int kAcceptsPerPass = 64;
+constexpr int kMaxAcceptsPerPass = 64;
 // Requests for encryption that a client may send before its startup message: SSL and GSS, once
 // each.
 constexpr int kMaxEncryptionRequests = 2;
@@ -63,10 +63,10 @@
 // it closes before the endpoint does.
 constexpr double kIdleTimeoutFactor = 0.8;
 // Quiet time of a connection after an answer, s: duplicate answers arrive some milliseconds late.
-constexpr Seconds kDuplicateAnswerQuietTime = 0.02;
+constexpr Seconds kDuplicateAnswerQuietWindow = 0.02;
 // An answer that equals the one before it on its connection is held for that time, s: if it is a
 // duplicate that came later than the quiet time, the true answer follows.
-constexpr Seconds kDuplicateAnswerHoldTime = 0.1;
+constexpr Seconds kDuplicateAnswerHoldTimeout = 0.1;
 
 // --- Discovery and release platform
 
@@ -78,11 +78,11 @@
 // watches have to be over within kEndpointListMaxAge.
 constexpr Seconds kWatchFirstObjectTimeout = 2.4;
 // Given by the protocol, s: a change counts as notified after that time, read or not.
-constexpr Seconds kEndpointListMaxAge = 6;
+constexpr Seconds kMaxEndpointListAge = 6;
 // Given by the protocol, s: the same after the address of discovery changed.
-constexpr Seconds kEndpointListMaxAgeAfterMove = 4;
+constexpr Seconds kMaxEndpointListAgeAfterMove = 4;
 // An accepted call may be worked on for 2 s, s: silence for longer means that nothing had changed.
-constexpr Seconds kAcceptedCallSettleTime = 2.1;
+constexpr Seconds kAcceptedCallSettleDelay = 2.1;
 // A JSON object that has begun is complete within that time, s, or was cut off.
 constexpr Seconds kJsonObjectTimeout = 2;
 // Longest silence of the platform's feed, s: it sends a heartbeat every 1 s.
@@ -99,9 +99,9 @@
 // Reserved of each time limit for writing the answer, s.
 constexpr Seconds kAnswerWriteMargin = 0.01;
 // Time for a client to read the last answer before its connection is closed, s.
-constexpr Seconds kClientLingerTime = 0.5;
+constexpr Seconds kClientLingerTimeout = 0.5;
 // Time for a client to read the error for which its connection is closed, s.
-constexpr Seconds kErrorLingerTime = 0.05;
+constexpr Seconds kErrorLingerTimeout = 0.05;
 // A startup message follows the connection within that time, s.
 constexpr Seconds kStartupMessageTimeout = 1.5;
 // An incomplete message that has not grown for that time, s, ends its connection.
@@ -110,10 +110,10 @@
 // of requests are longer.
 constexpr Seconds kUnreadAnswerTimeout = 5;
 // A client idle for that time, s, is closed first when descriptors run out.
-constexpr Seconds kIdleClientShedAge = 2;
+constexpr Seconds kIdleClientEvictionThreshold = 2;
 // Time within which a usual client has sent its startup message, s; no client is closed earlier to
 // make room.
-constexpr Seconds kClientSettleTime = 0.05;
+constexpr Seconds kClientSettleDelay = 0.05;
 // Delay before further messages of one client are read, s, so that others are served between.
 constexpr Seconds kNextMessagesDelay = 0.001;
 
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -47,7 +47,7 @@
         return socket_.valid();
     }
     void ready(short) override {
-        for (int i = 0; i < kAcceptsPerPass && socket_.valid(); ++i) {
+        for (int i = 0; i < kMaxAcceptsPerPass && socket_.valid(); ++i) {
             const int fd = ::accept4(socket_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
             if (fd < 0 && (errno == EMFILE || errno == ENFILE)) {
                 return pause();
--- a/src/net/ring_buffer.hpp
+++ b/src/net/ring_buffer.hpp
@@ -13,7 +13,7 @@
 
 class RingBuffer {
   public:
-    explicit RingBuffer(std::size_t most = kMaxBufferBytes) : most_(most) {}
+    explicit RingBuffer(std::size_t max_bytes = kMaxBufferBytes) : max_bytes_(max_bytes) {}
 
     std::size_t size() const {
         return size_;
@@ -22,81 +22,81 @@
         return size_ == 0;
     }
     // Changes the bound; bytes beyond it stay.
-    void bound(std::size_t most) {
-        most_ = most;
+    void bound(std::size_t max_bytes) {
+        max_bytes_ = max_bytes;
     }
     // Bytes of memory that it takes up.
-    std::size_t room() const {
-        return kept_.size();
+    std::size_t capacity() const {
+        return storage_.size();
     }
     bool full() const {
-        return size_ >= most_;
+        return size_ >= max_bytes_;
     }
 
     // Free bytes in one piece; empty only when the bound is reached.
-    std::span<char> space() {
-        if (size_ == kept_.size()) {
-            resize(std::min(most_, std::max(kInitialBufferBytes, 2 * kept_.size())));
+    std::span<char> free_space() {
+        if (size_ == storage_.size()) {
+            resize(std::min(max_bytes_, std::max(kInitialBufferBytes, 2 * storage_.size())));
         }
-        if (size_ == kept_.size()) {
+        if (size_ == storage_.size()) {
             return {};
         }
-        const std::size_t end = (first_ + size_) % kept_.size();
-        return {kept_.data() + end, end < first_ ? first_ - end : kept_.size() - end};
+        const std::size_t end = (first_ + size_) % storage_.size();
+        return {storage_.data() + end, end < first_ ? first_ - end : storage_.size() - end};
     }
     // So many bytes were written into space().
-    void filled(std::size_t bytes) {
+    void mark_filled(std::size_t bytes) {
         size_ += bytes;
     }
     // False, with nothing put, where the bound would be passed.
     bool put(std::string_view bytes) {
-        if (size_ >= most_ || bytes.size() > most_ - size_) {
+        if (size_ >= max_bytes_ || bytes.size() > max_bytes_ - size_) {
             return false;
         }
         while (!bytes.empty()) {
-            const auto to = space();
-            const std::size_t now = std::min(to.size(), bytes.size());
-            std::memcpy(to.data(), bytes.data(), now);
-            filled(now);
-            bytes.remove_prefix(now);
+            const auto free_bytes = free_space();
+            const std::size_t part_size = std::min(free_bytes.size(), bytes.size());
+            std::memcpy(free_bytes.data(), bytes.data(), part_size);
+            mark_filled(part_size);
+            bytes.remove_prefix(part_size);
         }
         return true;
     }
     // The bytes that lie in one piece from the first on.
-    std::string_view piece() const {
-        return {kept_.data() + first_, std::min(size_, kept_.size() - first_)};
+    std::string_view contiguous_front() const {
+        return {storage_.data() + first_, std::min(size_, storage_.size() - first_)};
     }
     // All bytes in one piece; moved together if they wrap.
     std::string_view all() {
-        if (first_ + size_ > kept_.size()) {
-            resize(kept_.size());
+        if (first_ + size_ > storage_.size()) {
+            resize(storage_.size());
         }
-        return piece();
+        return contiguous_front();
     }
     // Removes so many bytes from the front.
     void drop(std::size_t bytes) {
         size_ -= bytes;
-        first_ = size_ == 0 ? 0 : (first_ + bytes) % kept_.size();
-        if (size_ == 0 && kept_.size() > kInitialBufferBytes) {
-            std::vector<char>().swap(kept_);
+        first_ = size_ == 0 ? 0 : (first_ + bytes) % storage_.size();
+        if (size_ == 0 && storage_.size() > kInitialBufferBytes) {
+            std::vector<char>().swap(storage_);
         }
     }
 
   private:
     void resize(std::size_t bytes) {
-        std::vector<char> fresh(bytes);
-        const std::string_view head = piece();
-        std::copy(head.begin(), head.end(), fresh.begin());
-        std::copy_n(kept_.begin(), size_ - head.size(),
-                    fresh.begin() + static_cast<std::ptrdiff_t>(head.size()));
-        kept_.swap(fresh);
+        std::vector<char> resized(bytes);
+        const std::string_view head = contiguous_front();
+        std::copy(head.begin(), head.end(), resized.begin());
+        std::copy_n(storage_.begin(), size_ - head.size(),
+                    resized.begin() + static_cast<std::ptrdiff_t>(head.size()));
+        storage_.swap(resized);
         first_ = 0;
     }
 
-    std::vector<char> kept_;
+    std::vector<char> storage_;
     std::size_t first_ = 0;
     std::size_t size_ = 0;
-    std::size_t most_;
+    std::size_t max_bytes_;
 };
 
 }  // namespace tideline::net
--- a/src/net/sidecar.cpp
+++ b/src/net/sidecar.cpp
@@ -46,7 +46,7 @@
                                  reason);
     }
     log_.line("sidecar started: name={} descriptors={}", config.name, max_descriptors_);
-    ready_timer_ = loop_.timers.at(ready_by_, [this] { clients_.resume_waiting(); });
+    ready_timer_ = loop_.timers.at(ready_by_, [this] { clients_.resume_waiting_clients(); });
     report_periodically();
 }
 
@@ -61,7 +61,7 @@
     }
     shutting_down_ = true;
     clients_.shut_down(clock_now() > shutting_down_since_ + kStalledClientTimeout);
-    loop_.timers.at(clock_now() + kClientLingerTime / 10, [this] { shut_down(); });
+    loop_.timers.at(clock_now() + kClientLingerTimeout / 10, [this] { shut_down(); });
 }
 
 void Sidecar::reload(const SidecarConfig& fresh, Seconds since) {
@@ -136,7 +136,7 @@
 }
 
 void Sidecar::send_health_check(const EndpointId& endpoint) {
-    endpoints_.probe(endpoint);
+    endpoints_.begin_health_check(endpoint);
 }
 
 void Sidecar::watch_endpoint_list() {
@@ -188,9 +188,9 @@
 // Under overload clients open more and more connections, and their requests need descriptors too:
 // so connections that are of least use are closed until there is room.
 bool Sidecar::make_room_below(std::size_t descriptors) {
-    while (loop_.watched() + kReservedDescriptors >= descriptors) {
-        if (!clients_.close_one(kIdleClientShedAge) && !endpoints_.close_idle_connection() &&
-            !clients_.close_one(kClientSettleTime)) {
+    while (loop_.watched_count() + kReservedDescriptors >= descriptors) {
+        if (!clients_.close_one_client(kIdleClientEvictionThreshold) &&
+            !endpoints_.close_idle_connection() && !clients_.close_one_client(kClientSettleDelay)) {
             return false;
         }
     }
--- a/src/net/sidecar_config.cpp
+++ b/src/net/sidecar_config.cpp
@@ -108,8 +108,8 @@
         throw std::runtime_error("settings is missing; required is a JSON object");
     }
     config.settings = settings_from_json(from["settings"]);
-    config.settings["list.told_within"] = kEndpointListMaxAge;
-    config.settings["list.told_after_move"] = kEndpointListMaxAgeAfterMove;
+    config.settings["list.told_within"] = kMaxEndpointListAge;
+    config.settings["list.told_after_move"] = kMaxEndpointListAgeAfterMove;
     check_settings(config);
     return config;
 }
--- a/src/net/sidecar_updates.cpp
+++ b/src/net/sidecar_updates.cpp
@@ -25,20 +25,20 @@
     if (observer_) {
         observer_->endpoint_list_applied(discovery_.revision(), kind, lines, addresses);
     }
-    endpoints_.update(kind, lines, addresses);
+    endpoints_.apply_list(kind, lines, addresses);
     policy_->endpoints_updated(clock_now(), kind, lines);
-    endpoints_.review_waiting();
+    endpoints_.review_waiting_exchanges();
     if (has_endpoints_ || lines.empty()) {
         return;
     }
     has_endpoints_ = true;
-    clients_.resume_waiting();
+    clients_.resume_waiting_clients();
 }
 
 void Sidecar::endpoint_list_confirmed(Seconds as_of) {
     policy_->endpoint_list_confirmed(clock_now(), as_of);
     if (!std::exchange(list_confirmed_, true)) {
-        clients_.resume_waiting();
+        clients_.resume_waiting_clients();
     }
 }
 
@@ -71,7 +71,7 @@
         return;
     }
     policy_->stage_announced(clock_now(), build, stage, phase, cap, age);
-    endpoints_.review_waiting();
+    endpoints_.review_waiting_exchanges();
 }
 
 void Sidecar::answer_flagged(const std::string& request_class, const EndpointId& endpoint,
@@ -105,7 +105,7 @@
 
 void Sidecar::set_trial_participation(TrialParticipation participation) {
     policy_->trial_participation_set(clock_now(), participation);
-    endpoints_.review_waiting();
+    endpoints_.review_waiting_exchanges();
 }
 
 void Sidecar::set_slow_start_limit(const EndpointId& endpoint, double max_attempts, Seconds valid) {
@@ -130,10 +130,11 @@
     log_.line("attempt counters: {} recalled={} retries={}", text_of_outcomes(counters_),
               counters_.recalled, counters_.retries);
     log_.line("connection counters: {} endpoint_connections={} lists={} watches_lost={}",
-              clients_.report(), endpoints_.connections(), counters_.lists, counters_.watches_lost);
+              clients_.report(), endpoints_.connection_count(), counters_.lists,
+              counters_.watches_lost);
     log_.line("resource usage: descriptors={} descriptors_peak={} {}",
-              loop_.watched() + kUnwatchedDescriptors, loop_.peak_watched() + kUnwatchedDescriptors,
-              text_of_resource_usage());
+              loop_.watched_count() + kUnwatchedDescriptors,
+              loop_.peak_watched_count() + kUnwatchedDescriptors, text_of_resource_usage());
     std::string reasons;
     for (int i = 0; i < kRejectionReasons; ++i) {
         const long rejections = policy_->rejections(static_cast<RejectionReason>(i));
--- a/src/net/slots.hpp
+++ b/src/net/slots.hpp
@@ -17,28 +17,29 @@
             free_.push_back(static_cast<std::uint32_t>(slots_.size()));
             slots_.emplace_back();
         }
-        const std::uint32_t place = free_.back();
+        const std::uint32_t index = free_.back();
         free_.pop_back();
-        Slot& slot = slots_[place];
+        Slot& slot = slots_[index];
         slot.value.emplace(std::move(value));
         ++count_;
-        return number(place, ++slot.used);
+        return number(index, ++slot.generation);
     }
     // Null if there is none of that number; valid until an entry is added.
     Value* find(std::uint64_t number) {
-        const auto place = static_cast<std::uint32_t>(number);
-        if (place >= slots_.size() || slots_[place].used != number >> 32 || !slots_[place].value) {
+        const auto index = static_cast<std::uint32_t>(number);
+        if (index >= slots_.size() || slots_[index].generation != number >> 32 ||
+            !slots_[index].value) {
             return nullptr;
         }
-        return &*slots_[place].value;
+        return &*slots_[index].value;
     }
     void remove(std::uint64_t number) {
         if (!find(number)) {
             return;
         }
-        const auto place = static_cast<std::uint32_t>(number);
-        slots_[place].value.reset();
-        free_.push_back(place);
+        const auto index = static_cast<std::uint32_t>(number);
+        slots_[index].value.reset();
+        free_.push_back(index);
         --count_;
     }
     std::size_t size() const {
@@ -46,21 +47,21 @@
     }
     // Calls with the number and the entry; the call may remove that entry.
     template <class Callback>
-    void each(Callback call) {
-        for (std::uint32_t place = 0; place < slots_.size(); ++place) {
-            if (slots_[place].value) {
-                call(number(place, slots_[place].used), *slots_[place].value);
+    void each(Callback callback) {
+        for (std::uint32_t index = 0; index < slots_.size(); ++index) {
+            if (slots_[index].value) {
+                callback(number(index, slots_[index].generation), *slots_[index].value);
             }
         }
     }
 
   private:
     struct Slot {
-        std::uint32_t used = 0;
+        std::uint32_t generation = 0;
         std::optional<Value> value;
     };
-    static std::uint64_t number(std::uint32_t place, std::uint32_t used) {
-        return (std::uint64_t{used} << 32) | place;
+    static std::uint64_t number(std::uint32_t index, std::uint32_t generation) {
+        return (std::uint64_t{generation} << 32) | index;
     }
     std::vector<Slot> slots_;
     std::vector<std::uint32_t> free_;
--- a/src/net/tcp_connection.cpp
+++ b/src/net/tcp_connection.cpp
@@ -17,7 +17,7 @@
     to.sin_port = address.port;
     return to;
 }
-void no_delay(int fd) {
+void set_no_delay(int fd) {
     const int on = 1;
     ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
@@ -71,7 +71,7 @@
     if (closed()) {
         return report_failure();
     }
-    no_delay(fd_.get());
+    set_no_delay(fd_.get());
     if (from != 0) {  // where that is not an address of this machine, any will do
         const int on = 1;
         ::setsockopt(fd_.get(), IPPROTO_IP, IP_BIND_ADDRESS_NO_PORT, &on, sizeof on);
@@ -89,7 +89,7 @@
 
 void TcpConnection::adopt(int fd) {
     fd_.reset(fd);
-    no_delay(fd);
+    set_no_delay(fd);
     loop_.watch(fd_.get(), this, POLLIN);
 }
 
@@ -140,7 +140,7 @@
 
 void TcpConnection::write_out() {
     while (!out_.empty()) {
-        const std::string_view piece = out_.piece();
+        const std::string_view piece = out_.contiguous_front();
         const ssize_t sent = ::send(fd_.get(), piece.data(), piece.size(), MSG_NOSIGNAL);
         if (sent < 0 && errno == EINTR) {
             continue;
@@ -166,7 +166,10 @@
     if (closed() || failed_) {
         return;
     }
-    const int in = reading_stopped_ ? 0 : !in_.full() ? POLLIN : closes_unread() ? POLLRDHUP : 0;
+    const int in = reading_stopped_             ? 0
+                   : !in_.full()                ? POLLIN
+                   : reports_close_while_full() ? POLLRDHUP
+                                                : 0;
     loop_.set_events(fd_.get(), static_cast<short>(in | (out_.empty() ? 0 : POLLOUT)));
 }
 
@@ -195,37 +198,38 @@
 
 bool TcpConnection::peer_closed() {
     char byte = 0;
-    const ssize_t got = ::recv(fd_.get(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-    return failed_ || got >= 0 || (errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR);
+    const ssize_t received_bytes = ::recv(fd_.get(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+    return failed_ || received_bytes >= 0 ||
+           (errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR);
 }
 
 void TcpConnection::read_in() {
-    bool end = false;
-    std::size_t some = 0;
+    bool peer_ended = false;
+    std::size_t total_bytes = 0;
     // The rest is read in the next pass: a peer that sends at full speed would starve the others.
-    while (!in_.full() && some < kMaxReadBytesPerPass) {
-        const auto to = in_.space();
-        const ssize_t got = ::recv(fd_.get(), to.data(), to.size(), 0);
-        if (got < 0 && errno == EINTR) {
+    while (!in_.full() && total_bytes < kMaxReadBytesPerPass) {
+        const auto to = in_.free_space();
+        const ssize_t received_bytes = ::recv(fd_.get(), to.data(), to.size(), 0);
+        if (received_bytes < 0 && errno == EINTR) {
             continue;
         }
-        if (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) {
+        if (received_bytes < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) {
             break;
         }
-        if (got <= 0) {
-            end = true;
+        if (received_bytes <= 0) {
+            peer_ended = true;
             break;
         }
-        in_.filled(static_cast<std::size_t>(got));
-        some += static_cast<std::size_t>(got);
+        in_.mark_filled(static_cast<std::size_t>(received_bytes));
+        total_bytes += static_cast<std::size_t>(received_bytes);
     }
-    if (some > 0) {
+    if (total_bytes > 0) {
         on_received();
     }
     if (closed()) {
         return;
     }
-    if (end) {
+    if (peer_ended) {
         report_failure();
     } else {
         update_events();
@@ -262,7 +266,7 @@
     if (reading_stopped_ && (events & (POLLHUP | POLLERR))) {
         return report_failure();
     }
-    if ((events & (POLLRDHUP | POLLHUP | POLLERR)) && in_.full() && closes_unread()) {
+    if ((events & (POLLRDHUP | POLLHUP | POLLERR)) && in_.full() && reports_close_while_full()) {
         return report_failure();
     }
     if (!reading_stopped_ && (events & (POLLIN | POLLHUP | POLLERR))) {
--- a/src/net/tcp_connection.hpp
+++ b/src/net/tcp_connection.hpp
@@ -27,9 +27,9 @@
 // of the owner; a failure of any call is reported by ended().
 class TcpConnection : public Watcher {
   public:
-    // `in_most`: bytes that are held unread at most.
-    explicit TcpConnection(EventLoop& loop, std::size_t in_most = kMaxBufferBytes)
-        : loop_(loop), in_(in_most) {}
+    // `max_unread_bytes`: bytes that are held unread at most.
+    explicit TcpConnection(EventLoop& loop, std::size_t max_unread_bytes = kMaxBufferBytes)
+        : loop_(loop), in_(max_unread_bytes) {}
     ~TcpConnection() override {
         close();
     }
@@ -70,7 +70,7 @@
     // The peer closed the connection, or it failed; it is closed before the call.
     virtual void on_closed() = 0;
     // Whether the peer's close counts at once, though bytes before it wait unread for room in in_.
-    virtual bool closes_unread() const {
+    virtual bool reports_close_while_full() const {
         return false;
     }
     // Acknowledges what was read without waiting for something to send with it: a peer that holds
