--- a/src/net/discovery_client.cpp
+++ b/src/net/discovery_client.cpp
@@ -9,35 +9,35 @@
 using nlohmann::json;
 
 DiscoveryClient::DiscoveryClient(EventLoop& loop, Owner& owner, const Settings& settings,
-                                 Address address, const json& known)
+                                 Address address, const json& configured_list)
     : loop_(loop),
       owner_(owner),
       list_(settings),
       address_(address),
       watches_{HttpStreamCall(loop, address), HttpStreamCall(loop, address)},
       started_at_(clock_now()) {
-    list_.received_elsewhere(EndpointList::revision_of(known).value_or(0));
+    list_.advance_revision(EndpointList::revision_of(configured_list).value_or(0));
 }
 
 // A list that lagged, while another source passed on what it lacked, sends its old changes later:
 // applied then, they would undo newer ones.
-bool DiscoveryClient::read(const json& list, bool from_configuration) {
+bool DiscoveryClient::apply_list(const json& list, bool from_configuration) {
     const auto revision = EndpointList::revision_of(list);
     if (revision && !owner_.takes_revision(*revision)) {
         return true;
     }
     const EndpointListUpdate update = list_.read(list, from_configuration);
     if (update.is_list) {
-        owner_.endpoint_list_received(update.kind, update.lines, update.addresses);
+        owner_.endpoint_list_received(update.kind, update.endpoints, update.addresses);
     }
     return update.is_list && update.accepted;
 }
 
 // After a move the watch at the old address may report that nothing has changed while the new one
 // has changes to send, which count as notified. So the old one confirms nothing.
-void DiscoveryClient::confirm(int which, Seconds as_of) {
+void DiscoveryClient::confirm_list(int watch_index, Seconds as_of) {
     const Seconds now = clock_now();
-    if (moving_ && which == current_) {
+    if (moving_ && watch_index == current_) {
         return;
     }
     owner_.endpoint_list_confirmed(as_of);
@@ -52,54 +52,56 @@
 }
 
 // After a move the new watch has sent something: everything that the old one sent was read before.
-void DiscoveryClient::make_current(int which) {
-    if (which == current_) {
+void DiscoveryClient::make_current(int watch_index) {
+    if (watch_index == current_) {
         return;
     }
     watches_[current_].drop();
-    current_ = which;
+    current_ = watch_index;
     moving_ = false;
 }
 
-void DiscoveryClient::object_received(int which, const std::string& text) {
-    make_current(which);
+void DiscoveryClient::object_received(int watch_index, const std::string& text) {
+    make_current(watch_index);
     const Seconds as_of = loop_.arrived_after();
     if (text.empty()) {
-        return confirm(which, as_of);  // a heartbeat
+        return confirm_list(watch_index, as_of);  // a heartbeat
     }
     const json list = json::parse(text, nullptr, false);
-    if (!list.is_discarded() && read(list, false)) {
-        return confirm(which, as_of);
+    if (!list.is_discarded() && apply_list(list, false)) {
+        return confirm_list(watch_index, as_of);
     }
-    watches_[which].drop();
+    watches_[watch_index].drop();
     CallLoss loss;
     loss.error = CallError::malformed_json;
-    watch_lost(which, loss);
+    watch_lost(watch_index, loss);
 }
 
 // Changes that came while no watch was open count as notified, so the watch names the last revision
 // known. An overloaded discovery service accepts a call and sends a heartbeat before it has handled
 // it; only once it would have sent a change is it known that nothing had changed when it accepted
 // the call.
-void DiscoveryClient::open_watch(int which) {
+void DiscoveryClient::open_watch(int watch_index) {
     loop_.timers.cancel(retry_timer_);
     ++unanswered_calls_;
     last_call_at_ = clock_now();
     HttpStreamCall::Callbacks callbacks;
-    callbacks.object = [this, which](const std::string& text) { object_received(which, text); };
-    callbacks.completed = [this, which] {
-        watches_[which].drop();
-        watch_lost(which, CallLoss{});
+    callbacks.object = [this, watch_index](const std::string& text) {
+        object_received(watch_index, text);
     };
-    callbacks.lost = [this, which](const CallLoss& loss) { watch_lost(which, loss); };
+    callbacks.completed = [this, watch_index] {
+        watches_[watch_index].drop();
+        watch_lost(watch_index, CallLoss{});
+    };
+    callbacks.lost = [this, watch_index](const CallLoss& loss) { watch_lost(watch_index, loss); };
     callbacks.object_began = [this] { owner_.endpoint_list_unreadable(loop_.arrived_after()); };
-    callbacks.accepted = [this, which](Seconds accepted_at) {
-        make_current(which);
-        confirm(which, accepted_at);
+    callbacks.accepted = [this, watch_index](Seconds accepted_at) {
+        make_current(watch_index);
+        confirm_list(watch_index, accepted_at);
     };
     callbacks.settle_time = kAcceptedCallSettleDelay;
-    watches_[which].begin(fmt::format("/v1/servers?follow=1&since={}", list_.revision()),
-                          kWatchFirstObjectTimeout, kWatchSilenceTimeout, callbacks);
+    watches_[watch_index].begin(fmt::format("/v1/servers?follow=1&since={}", list_.revision()),
+                                kWatchFirstObjectTimeout, kWatchSilenceTimeout, callbacks);
 }
 
 void DiscoveryClient::follow() {
@@ -124,15 +126,15 @@
     }
 }
 
-void DiscoveryClient::watch_lost(int which, const CallLoss& loss) {
-    if (which != current_) {
-        retry_timer_ =
-            loop_.timers.at(clock_now() + backoff_, [this, which] { open_watch(which); });
+void DiscoveryClient::watch_lost(int watch_index, const CallLoss& loss) {
+    if (watch_index != current_) {
+        retry_timer_ = loop_.timers.at(clock_now() + backoff_,
+                                       [this, watch_index] { open_watch(watch_index); });
         backoff_ = std::min(kMaxReconnectBackoff, 2 * backoff_);
         return;
     }
-    if (watches_[1 - which].open()) {
-        current_ = 1 - which;
+    if (watches_[1 - watch_index].open()) {
+        current_ = 1 - watch_index;
         moving_ = false;
         return;
     }
--- a/src/net/discovery_client.hpp
+++ b/src/net/discovery_client.hpp
@@ -22,7 +22,7 @@
         virtual ~Owner() = default;
         // `addresses` holds one for each line.
         virtual void endpoint_list_received(EndpointListKind kind,
-                                            const std::vector<EndpointInfo>& lines,
+                                            const std::vector<EndpointInfo>& endpoints,
                                             const std::vector<Address>& addresses) = 0;
         // All changes until `as_of` have been passed on.
         virtual void endpoint_list_confirmed(Seconds as_of) = 0;
@@ -38,9 +38,9 @@
         virtual bool takes_revision(std::int64_t revision) = 0;
     };
 
-    // `settings` and `owner` outlive the client. `known`: the list in the configuration.
+    // `settings` and `owner` outlive the client. `configured_list`: the list in the configuration.
     DiscoveryClient(EventLoop& loop, Owner& owner, const Settings& settings, Address address,
-                    const nlohmann::json& known);
+                    const nlohmann::json& configured_list);
     ~DiscoveryClient() {
         loop_.timers.cancel(retry_timer_);
     }
@@ -48,8 +48,8 @@
     DiscoveryClient& operator=(const DiscoveryClient&) = delete;
 
     // Passes on the list in the configuration.
-    void begin(const nlohmann::json& known) {
-        read(known, true);
+    void begin(const nlohmann::json& configured_list) {
+        apply_list(configured_list, true);
     }
     // Opens the watch.
     void follow();
@@ -58,22 +58,22 @@
         return list_.revision();
     }
     // The list up to this revision came from another source than discovery.
-    void received_elsewhere(std::int64_t revision) {
-        list_.received_elsewhere(revision);
+    void advance_revision(std::int64_t revision) {
+        list_.advance_revision(revision);
     }
     // Discovery is at another address, no earlier than `since`; the watch goes over without a gap.
     void move(Address address, Seconds since);
 
   private:
-    void open_watch(int which);
-    void object_received(int which, const std::string& text);
-    void watch_lost(int which, const CallLoss& loss);
+    void open_watch(int watch_index);
+    void object_received(int watch_index, const std::string& text);
+    void watch_lost(int watch_index, const CallLoss& loss);
     void report_loss(const CallLoss& loss);
     // From now on this watch is the current one.
-    void make_current(int which);
-    void confirm(int which, Seconds as_of);
+    void make_current(int watch_index);
+    void confirm_list(int watch_index, Seconds as_of);
     // False if the list has to be requested again.
-    bool read(const nlohmann::json& list, bool from_configuration);
+    bool apply_list(const nlohmann::json& list, bool from_configuration);
 
     EventLoop& loop_;
     Owner& owner_;
--- a/src/net/endpoint_list.hpp
+++ b/src/net/endpoint_list.hpp
@@ -21,7 +21,7 @@
     bool accepted = true;  // false: an entry was malformed, and the state before it has to be
                            // requested again
     EndpointListKind kind = EndpointListKind::changes;
-    std::vector<EndpointInfo> lines;
+    std::vector<EndpointInfo> endpoints;
     std::vector<Address> addresses;  // one for each line
 };
 
@@ -39,33 +39,34 @@
         return revision_;
     }
     // Everything up to this revision came from another source.
-    void received_elsewhere(std::int64_t revision);
+    void advance_revision(std::int64_t revision);
 
   private:
-    struct Known {
-        EndpointInfo line;
+    struct KnownEndpoint {
+        EndpointInfo info;
         Address address;
     };
     // One message, read.
     struct Entries {
-        std::map<EndpointId, Known> lines;
+        std::map<EndpointId, KnownEndpoint> endpoints;
         std::set<EndpointId> phase_unknown;  // known endpoints whose phase can't be read
         std::string unreadable;              // the malformed entries as they came
     };
     static EndpointListKind kind_of(const nlohmann::json& list, bool from_configuration);
     Entries read_entries(const nlohmann::json& members, std::int64_t revision) const;
-    bool read_entry(const nlohmann::json& entry, const Known* before, Known& now) const;
-    static void keep_newer_state(const Known& before, Known& now);
+    bool read_entry(const nlohmann::json& entry, const KnownEndpoint* previous,
+                    KnownEndpoint& current) const;
+    static void keep_newer_state(const KnownEndpoint& previous, KnownEndpoint& current);
     static void drain_unknown_phases(Entries& entries);
     void remove_missing(const Entries& entries);
-    void keep(const Known& now);
+    void store_endpoint(const KnownEndpoint& current);
 
     const Settings& settings_;
     std::int64_t revision_ = 0;
-    std::int64_t newest_ = 0;  // of all sources
-    std::map<EndpointId, Known> known_;
-    std::deque<EndpointId> gone_;  // oldest first
-    std::string unreadable_;       // of the message before
+    std::int64_t newest_revision_ = 0;  // of all sources
+    std::map<EndpointId, KnownEndpoint> known_;
+    std::deque<EndpointId> removed_ids_;  // oldest first
+    std::string previous_unreadable_;     // of the message before
 };
 
 }  // namespace tideline::net
--- a/src/net/endpoint_pool.cpp
+++ b/src/net/endpoint_pool.cpp
@@ -26,15 +26,15 @@
 
 // --- Endpoints
 
-void EndpointPool::apply_list(EndpointListKind kind, const std::vector<EndpointInfo>& lines,
+void EndpointPool::apply_list(EndpointListKind kind, const std::vector<EndpointInfo>& endpoints,
                               const std::vector<Address>& addresses) {
     if (kind != EndpointListKind::changes) {
         for (auto& [id, endpoint] : endpoints_) {
             endpoint.listed = false;
         }
     }
-    for (std::size_t i = 0; i < lines.size(); ++i) {
-        apply_entry(lines[i], addresses[i]);
+    for (std::size_t i = 0; i < endpoints.size(); ++i) {
+        apply_entry(endpoints[i], addresses[i]);
     }
     close_outdated_connections();
     for (auto& [id, endpoint] : endpoints_) {
@@ -50,16 +50,16 @@
     });
 }
 
-void EndpointPool::apply_entry(const EndpointInfo& line, const Address& address) {
-    Endpoint& endpoint = endpoints_[line.id];
-    if (endpoint.address != address || endpoint.build != line.build ||
-        endpoint.started != line.started) {
+void EndpointPool::apply_entry(const EndpointInfo& info, const Address& address) {
+    Endpoint& endpoint = endpoints_[info.id];
+    if (endpoint.address != address || endpoint.build != info.build ||
+        endpoint.started != info.started) {
         ++endpoint.generation;
     }
     endpoint.address = address;
-    endpoint.build = line.build;
-    endpoint.started = line.started;
-    endpoint.listed = line.state == EndpointState::ready;
+    endpoint.build = info.build;
+    endpoint.started = info.started;
+    endpoint.listed = info.state == EndpointState::ready;
 }
 
 void EndpointPool::close_outdated_connections() {
--- a/src/net/endpoint_pool.hpp
+++ b/src/net/endpoint_pool.hpp
@@ -43,7 +43,7 @@
     EndpointPool& operator=(const EndpointPool&) = delete;
 
     // Applies a list; `addresses` holds one for each line.
-    void apply_list(EndpointListKind kind, const std::vector<EndpointInfo>& lines,
+    void apply_list(EndpointListKind kind, const std::vector<EndpointInfo>& endpoints,
                     const std::vector<Address>& addresses);
     // Asks again whether attempts that wait for a connection may still go out.
     void review_waiting_exchanges();
@@ -103,7 +103,7 @@
     void answer_held(std::uint64_t connection) override;
 
     void deliver_held_answer(std::uint64_t connection);
-    void apply_entry(const EndpointInfo& line, const Address& address);
+    void apply_entry(const EndpointInfo& info, const Address& address);
     void close_outdated_connections();
     void begin_exchange(const Exchange& exchange);
     void send_exchange(std::uint64_t exchange, std::uint64_t connection);
--- a/src/net/fleet_observer.hpp
+++ b/src/net/fleet_observer.hpp
@@ -21,7 +21,7 @@
     virtual bool takes_revision(std::int64_t revision) = 0;
     // The sidecar has applied this list; `addresses` holds one for each line.
     virtual void endpoint_list_applied(std::int64_t revision, EndpointListKind kind,
-                                       const std::vector<EndpointInfo>& lines,
+                                       const std::vector<EndpointInfo>& endpoints,
                                        const std::vector<Address>& addresses) = 0;
     // Whether the release status may be applied: false if it is older than one that the cluster
     // passed to the sidecar. `cap`: share of the requests; `age`: s.
@@ -39,7 +39,8 @@
   public:
     virtual ~ObservedSidecar() = default;
     // Applies a complete list that other members have; `addresses` holds one for each line.
-    virtual void apply_endpoint_list(std::int64_t revision, const std::vector<EndpointInfo>& lines,
+    virtual void apply_endpoint_list(std::int64_t revision,
+                                     const std::vector<EndpointInfo>& endpoints,
                                      const std::vector<Address>& addresses) = 0;
     // Applies a release stage that other members know of; `age`: of that knowledge, s.
     virtual void apply_stage(Build build, Stage stage, Phase phase, double cap, Seconds age) = 0;
--- a/src/net/http_stream_call.cpp
+++ b/src/net/http_stream_call.cpp
@@ -102,13 +102,13 @@
         }
         CallLoss loss;
         loss.error = connected_ ? CallError::ended : CallError::not_connected;
-        loss.ended_within_object = objects_.within();
+        loss.ended_within_object = objects_.is_within_object();
         call_.lose(loss);
     }
     void on_head(int status) override;
     void on_body(std::string_view bytes) override;
     void on_end() override {
-        if (objects_.within()) {
+        if (objects_.is_within_object()) {
             set_loss(CallError::object_incomplete);
         }
         completed_ = true;
@@ -159,13 +159,13 @@
     if (loss_ || !call_.callbacks_.accepted) {
         return;
     }
-    settle_timer_ = loop_.timers.at(clock_now() + call_.callbacks_.settle_time,
-                                    [this, accepted_at = loop_.arrived_after()] {
-                                        settle_timer_ = Timers::kNone;
-                                        if (!closed() && !call_.received_ && !objects_.within()) {
-                                            call_.callbacks_.accepted(accepted_at);
-                                        }
-                                    });
+    settle_timer_ = loop_.timers.at(
+        clock_now() + call_.callbacks_.settle_time, [this, accepted_at = loop_.arrived_after()] {
+            settle_timer_ = Timers::kNone;
+            if (!closed() && !call_.received_ && !objects_.is_within_object()) {
+                call_.callbacks_.accepted(accepted_at);
+            }
+        });
 }
 
 void HttpStreamCall::Stream::on_body(std::string_view bytes) {
@@ -183,7 +183,7 @@
     if (read == JsonObjectSplitter::Result::too_long) {
         set_loss(CallError::object_too_long);
     }
-    if (!objects_.within()) {
+    if (!objects_.is_within_object()) {
         return loop_.timers.cancel(object_timer_);
     }
     limit_object();
--- a/src/net/json_object_splitter.cpp
+++ b/src/net/json_object_splitter.cpp
@@ -3,11 +3,11 @@
 namespace tideline::net {
 
 bool JsonObjectSplitter::close(char opened) {
-    if (open_.empty() || open_.back() != opened) {
+    if (open_brackets_.empty() || open_brackets_.back() != opened) {
         return false;
     }
-    open_.pop_back();
-    next_ = Next::after;
+    open_brackets_.pop_back();
+    expected_ = Expected::after;
     return true;
 }
 
@@ -21,7 +21,7 @@
             escaped_ = true;
         } else if (c == '"') {
             in_string_ = false;
-            next_ = in_key_ ? Next::colon : Next::after;
+            expected_ = in_key_ ? Expected::colon : Expected::after;
         }
         return static_cast<unsigned char>(c) >= 0x20;
     }
@@ -31,44 +31,45 @@
         return true;
     }
     in_literal_ = false;
-    if (space(c)) {
+    if (is_space(c)) {
         return true;
     }
-    const bool value = next_ == Next::value || next_ == Next::first_value;
+    const bool value = expected_ == Expected::value || expected_ == Expected::first_value;
     switch (c) {
         case '{':
         case '[':
-            if (!value && !open_.empty()) {
+            if (!value && !open_brackets_.empty()) {
                 return false;
             }
-            open_ += c;
-            next_ = c == '{' ? Next::first_key : Next::first_value;
+            open_brackets_ += c;
+            expected_ = c == '{' ? Expected::first_key : Expected::first_value;
             return true;
         case '}':
-            return (next_ == Next::first_key || next_ == Next::after) && close('{');
+            return (expected_ == Expected::first_key || expected_ == Expected::after) && close('{');
         case ']':
-            return (next_ == Next::first_value || next_ == Next::after) && close('[');
+            return (expected_ == Expected::first_value || expected_ == Expected::after) &&
+                   close('[');
         case '"':
-            in_key_ = next_ == Next::first_key || next_ == Next::key;
+            in_key_ = expected_ == Expected::first_key || expected_ == Expected::key;
             return in_string_ = in_key_ || value;
         case ':':
-            if (next_ != Next::colon) {
+            if (expected_ != Expected::colon) {
                 return false;
             }
-            next_ = Next::value;
+            expected_ = Expected::value;
             return true;
         case ',':
-            if (next_ != Next::after) {
+            if (expected_ != Expected::after) {
                 return false;
             }
-            next_ = open_.back() == '{' ? Next::key : Next::value;
+            expected_ = open_brackets_.back() == '{' ? Expected::key : Expected::value;
             return true;
         default:
             if (!value || !literal) {
                 return false;
             }
             in_literal_ = true;
-            next_ = Next::after;
+            expected_ = Expected::after;
             return true;
     }
 }
--- a/src/net/json_object_splitter.hpp
+++ b/src/net/json_object_splitter.hpp
@@ -20,11 +20,11 @@
     template <class Callback>
     Result add(std::string_view bytes, std::size_t max_bytes, Callback received) {
         for (const char c : bytes) {
-            if (!within()) {
+            if (!is_within_object()) {
                 if (c == '\n' && std::exchange(line_empty_, true)) {
                     received(std::string());
                 }
-                if (space(c)) {
+                if (is_space(c)) {
                     continue;
                 }
                 if (c != '{') {
@@ -38,7 +38,7 @@
                 return Result::malformed;
             }
             object_ += c;
-            if (!open_.empty()) {
+            if (!open_brackets_.empty()) {
                 continue;
             }
             std::string object;
@@ -48,23 +48,23 @@
         return Result::ok;
     }
     // Whether an object has begun and is not complete.
-    bool within() const {
-        return !open_.empty();
+    bool is_within_object() const {
+        return !open_brackets_.empty();
     }
 
   private:
     // What may come next, apart from white space. An object ends as malformed with the first byte
     // that can't continue it: one that was cut off would otherwise swallow what follows it.
-    enum class Next { first_key, key, colon, value, first_value, after };
-    static bool space(char c) {
+    enum class Expected { first_key, key, colon, value, first_value, after };
+    static bool is_space(char c) {
         return c == ' ' || c == '\t' || c == '\r' || c == '\n';
     }
     bool accept(char c);
     bool close(char opened);
 
-    std::string object_;  // its bytes so far
-    std::string open_;    // brackets not yet closed
-    Next next_ = Next::value;
+    std::string object_;         // its bytes so far
+    std::string open_brackets_;  // brackets not yet closed
+    Expected expected_ = Expected::value;
     bool in_string_ = false;
     bool escaped_ = false;
     bool in_key_ = false;      // the string is the name of a member
--- a/src/net/log.cpp
+++ b/src/net/log.cpp
@@ -53,7 +53,7 @@
 // Writes to standard error without blocking: keeps what it does not take at once, up to a limit.
 class StandardErrorSink : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
   public:
-    void write_out() {
+    void write_pending() {
         // A pipe that polls as writable takes PIPE_BUF bytes without blocking.
         while (!pending_.empty()) {
             pollfd out{STDERR_FILENO, POLLOUT, 0};
@@ -81,7 +81,7 @@
         }
     }
     void flush_() override {
-        write_out();
+        write_pending();
     }
 
   private:
@@ -90,30 +90,30 @@
 
 }  // namespace
 
-struct Log::Parts {
+struct Log::Impl {
     std::shared_ptr<StandardErrorSink> sink = std::make_shared<StandardErrorSink>();
     spdlog::logger logger{"tideline", sink};
 };
 
-Log::Log(Form form) : parts_(std::make_unique<Parts>()) {
-    parts_->logger.set_formatter(form == Form::json
-                                     ? std::unique_ptr<spdlog::formatter>(new JsonFormatter)
-                                     : std::make_unique<TextFormatter>());
+Log::Log(Form form) : impl_(std::make_unique<Impl>()) {
+    impl_->logger.set_formatter(form == Form::json
+                                    ? std::unique_ptr<spdlog::formatter>(new JsonFormatter)
+                                    : std::make_unique<TextFormatter>());
 }
 Log::~Log() {
     flush();
 }
 
 void Log::add(bool alarm, const std::string& text) {
-    if (const long dropped = std::exchange(parts_->sink->dropped, 0); dropped > 0) {
-        parts_->logger.warn("log lines dropped: count={}", dropped);
+    if (const long dropped = std::exchange(impl_->sink->dropped, 0); dropped > 0) {
+        impl_->logger.warn("log lines dropped: count={}", dropped);
     }
-    parts_->logger.log(alarm ? spdlog::level::warn : spdlog::level::info, "{}", text);
+    impl_->logger.log(alarm ? spdlog::level::warn : spdlog::level::info, "{}", text);
     flush();
 }
 
 void Log::flush() {
-    parts_->sink->write_out();
+    impl_->sink->write_pending();
 }
 
 }  // namespace tideline::net
--- a/src/net/log.hpp
+++ b/src/net/log.hpp
@@ -19,22 +19,22 @@
     Log& operator=(const Log&) = delete;
     ~Log();
     // Writes an event: its name and fields.
-    template <class... Parts>
-    void line(fmt::format_string<Parts...> form, Parts&&... parts) {
-        add(false, fmt::format(form, std::forward<Parts>(parts)...));
+    template <class... Args>
+    void line(fmt::format_string<Args...> format, Args&&... args) {
+        add(false, fmt::format(format, std::forward<Args>(args)...));
     }
     // The same for an event that an operator has to look at.
-    template <class... Parts>
-    void alarm(fmt::format_string<Parts...> form, Parts&&... parts) {
-        add(true, fmt::format(form, std::forward<Parts>(parts)...));
+    template <class... Args>
+    void alarm(fmt::format_string<Args...> format, Args&&... args) {
+        add(true, fmt::format(format, std::forward<Args>(args)...));
     }
     // Writes what standard error takes without blocking.
     void flush();
 
   private:
     void add(bool alarm, const std::string& text);
-    struct Parts;
-    std::unique_ptr<Parts> parts_;
+    struct Impl;
+    std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace tideline::net
--- a/src/net/release_platform_client.cpp
+++ b/src/net/release_platform_client.cpp
@@ -44,11 +44,11 @@
 }  // namespace
 
 ReleasePlatformClient::ReleasePlatformClient(EventLoop& loop, Owner& owner, Address address,
-                                             Seconds vote_wait, std::uint64_t seed)
+                                             Seconds vote_timeout, std::uint64_t seed)
     : loop_(loop),
       owner_(owner),
       address_(address),
-      vote_wait_(vote_wait),
+      vote_timeout_(vote_timeout),
       random_(static_cast<std::uint32_t>(seed >> 8 ^ seed >> 40)),
       feeds_{HttpStreamCall(loop, address), HttpStreamCall(loop, address)} {}
 ReleasePlatformClient::~ReleasePlatformClient() {
@@ -121,10 +121,10 @@
         return maintain_feed_after(last_received_ + kFeedSilenceTimeout - now);
     }
     const bool try_other = is_open && (moving_ || last_received_ > 0);
-    const int which = try_other ? 1 - current_ : current_;
-    if (!feeds_[which].open()) {
+    const int feed_index = try_other ? 1 - current_ : current_;
+    if (!feeds_[feed_index].open()) {
         log_feed_opened();
-        open_feed(which);
+        open_feed(feed_index);
     }
     const double jitter =
         static_cast<double>(random_()) / static_cast<double>(std::ranlux24_base::max());
@@ -145,33 +145,37 @@
     }
 }
 
-void ReleasePlatformClient::open_feed(int which) {
+void ReleasePlatformClient::open_feed(int feed_index) {
     HttpStreamCall::Callbacks callbacks;
-    callbacks.object = [this, which](const std::string& text) { feed_received(which, text); };
-    callbacks.completed = [this, which] { feed_lost(which, "ended"); };
-    callbacks.lost = [this, which](const CallLoss& loss) { feed_lost(which, loss.text()); };
-    feeds_[which].begin("/api/feed", kFeedSilenceTimeout, kNoSilenceTimeout, callbacks);
+    callbacks.object = [this, feed_index](const std::string& text) {
+        feed_object_received(feed_index, text);
+    };
+    callbacks.completed = [this, feed_index] { feed_lost(feed_index, "ended"); };
+    callbacks.lost = [this, feed_index](const CallLoss& loss) {
+        feed_lost(feed_index, loss.text());
+    };
+    feeds_[feed_index].begin("/api/feed", kFeedSilenceTimeout, kNoSilenceTimeout, callbacks);
 }
 
-void ReleasePlatformClient::feed_lost(int which, const std::string& reason) {
-    feeds_[which].drop();
+void ReleasePlatformClient::feed_lost(int feed_index, const std::string& reason) {
+    feeds_[feed_index].drop();
     owner_.platform_event("feed lost: reason=" + reason);
-    if (which == current_) {
+    if (feed_index == current_) {
         moving_ = false;  // the next one is opened at the present address
-        if (feeds_[1 - which].open()) {
-            current_ = 1 - which;
+        if (feeds_[1 - feed_index].open()) {
+            current_ = 1 - feed_index;
         }
     }
     maintain_feed_after(backoff_);
 }
 
-void ReleasePlatformClient::feed_received(int which, const std::string& text) {
+void ReleasePlatformClient::feed_object_received(int feed_index, const std::string& text) {
     last_received_ = clock_now();
     backoff_ = kInitialReconnectBackoff;
     // After a move the old feed still sends, and may not end the one that is to follow it.
-    if (!moving_ || which != current_) {
-        feeds_[1 - which].drop();
-        current_ = which;
+    if (!moving_ || feed_index != current_) {
+        feeds_[1 - feed_index].drop();
+        current_ = feed_index;
         moving_ = false;
         maintain_feed_after(kFeedSilenceTimeout);
     }
@@ -180,7 +184,7 @@
     }
     const json event = json::parse(text, nullptr, false);
     if (event.is_discarded()) {
-        return feed_lost(which, "unreadable_line");
+        return feed_lost(feed_index, "unreadable_line");
     }
     read_event(event);
 }
@@ -215,7 +219,7 @@
     if (!usable) {
         VoteConnection::Owner& connection_owner = *this;
         vote_connections_.push_back(
-            std::make_unique<VoteConnection>(loop_, connection_owner, address_, vote_wait_));
+            std::make_unique<VoteConnection>(loop_, connection_owner, address_, vote_timeout_));
     }
     const json body = {
         {"version", build.value}, {"step", stage.value}, {"vote", wire_text_of(vote)}};
--- a/src/net/release_platform_client.hpp
+++ b/src/net/release_platform_client.hpp
@@ -32,9 +32,9 @@
         virtual void platform_event(const std::string& event) = 0;
     };
 
-    // `vote_wait`: s, for the answer to a vote. `seed`: of the jitter of reconnects. `owner`
+    // `vote_timeout`: s, for the answer to a vote. `seed`: of the jitter of reconnects. `owner`
     // outlives the client.
-    ReleasePlatformClient(EventLoop& loop, Owner& owner, Address address, Seconds vote_wait,
+    ReleasePlatformClient(EventLoop& loop, Owner& owner, Address address, Seconds vote_timeout,
                           std::uint64_t seed);
     ~ReleasePlatformClient() override;
     ReleasePlatformClient(const ReleasePlatformClient&) = delete;
@@ -61,16 +61,16 @@
 
     void maintain_feed();
     void maintain_feed_after(Seconds delay);
-    void open_feed(int which);
+    void open_feed(int feed_index);
     void log_feed_opened() const;
-    void feed_lost(int which, const std::string& reason);
-    void feed_received(int which, const std::string& text);
+    void feed_lost(int feed_index, const std::string& reason);
+    void feed_object_received(int feed_index, const std::string& text);
     void read_event(const nlohmann::json& event);
 
     EventLoop& loop_;
     Owner& owner_;
     Address address_;
-    const Seconds vote_wait_;
+    const Seconds vote_timeout_;
     std::ranlux24_base random_;
     // The current feed, and one that is tried when that is silent or at the old address.
     std::array<HttpStreamCall, 2> feeds_;
--- a/src/net/sidecar.cpp
+++ b/src/net/sidecar.cpp
@@ -21,7 +21,7 @@
       settings_(config.settings),
       name_(config.name),
       listen_address_(config.listen),
-      max_descriptors_(allowed_descriptors(config.sockets)),
+      max_descriptors_(allowed_descriptors(config.max_descriptors)),
       request_classes_(request_classes_of(settings_)),
       tenants_(tenants_of(settings_)),
       guarded_effects_(effect_guard ? guarded_effects_of(settings_, request_classes_)
@@ -29,13 +29,13 @@
       clients_(loop, *this, longest_time_limit(settings_)),
       endpoints_(loop, *this, config.need("allowed.connect_time"),
                  config.need("allowed.keep_idle")),
-      discovery_(loop, *this, settings_, config.list, config.known),
+      discovery_(loop, *this, settings_, config.discovery, config.initial_endpoint_list),
       platform_(loop, *this, config.platform, config.need("release.vote_wait"), config.seed),
       overlapping_attempts_(overlapping_attempts_allowed(settings_)),
       ready_by_(clock_now() + kReadyTimeout) {
     policy_ = std::make_unique<RoutingPolicy>(*this, settings_, config.seed, clock_now());
-    discovery_.begin(config.known);
-    platform_.read_state(config.news);
+    discovery_.begin(config.initial_endpoint_list);
+    platform_.read_state(config.initial_release_state);
     platform_.begin();
     if (endpoint_list_is_pushed(settings_)) {
         discovery_.follow();
@@ -64,19 +64,19 @@
     loop_.timers.at(clock_now() + kClientLingerTimeout / 10, [this] { shut_down(); });
 }
 
-void Sidecar::reload(const SidecarConfig& fresh, Seconds since) {
-    discovery_.move(fresh.list, since);
-    platform_.move(fresh.platform);
-    max_descriptors_ = allowed_descriptors(fresh.sockets);
+void Sidecar::reload(const SidecarConfig& new_config, Seconds since) {
+    discovery_.move(new_config.discovery, since);
+    platform_.move(new_config.platform);
+    max_descriptors_ = allowed_descriptors(new_config.max_descriptors);
     log_.line("configuration reloaded: descriptors={}", max_descriptors_);
     std::string needs_restart;
-    if (fresh.name != name_) {
+    if (new_config.name != name_) {
         needs_restart += " name";
     }
-    if (fresh.listen != listen_address_) {
+    if (new_config.listen != listen_address_) {
         needs_restart += " listen";
     }
-    if (fresh.settings != settings_) {
+    if (new_config.settings != settings_) {
         needs_restart += " settings";
     }
     if (!needs_restart.empty()) {
@@ -126,8 +126,8 @@
 void Sidecar::reject(RequestId request, Seconds retry_after) {
     ++counters_.rejected;
     const auto milliseconds = std::llround(retry_after * 1e3);
-    const std::string advice = milliseconds > 0 ? std::to_string(milliseconds) : "";
-    conclude(request, pg::error("ERROR", "53300", "throttled", advice));
+    const std::string retry_after_text = milliseconds > 0 ? std::to_string(milliseconds) : "";
+    conclude(request, pg::error("ERROR", "53300", "throttled", retry_after_text));
 }
 
 void Sidecar::fail(RequestId request) {
@@ -239,7 +239,7 @@
     requests_.conclude(*open);
     policy_->request_abandoned(clock_now(), request);
     if (const auto attempt = take_guarded_attempt(request)) {
-        return end_unsent(request, *attempt, true);
+        return end_unsent_attempt(request, *attempt, true);
     }
     forget_if_done(request);
 }
--- a/src/net/sidecar.hpp
+++ b/src/net/sidecar.hpp
@@ -46,7 +46,7 @@
     // Stops accepting clients and closes the present ones between two requests.
     void shut_down();
     // Applies what can change at run time, after a SIGHUP that came no earlier than `since`.
-    void reload(const SidecarConfig& fresh, Seconds since);
+    void reload(const SidecarConfig& new_config, Seconds since);
     // Whether all clients are gone after shut_down(); each open request has a client that waits.
     bool done() const {
         return shutting_down_ && clients_.size() == 0;
@@ -55,7 +55,7 @@
     void report();
 
     // ObservedSidecar
-    void apply_endpoint_list(std::int64_t revision, const std::vector<EndpointInfo>& lines,
+    void apply_endpoint_list(std::int64_t revision, const std::vector<EndpointInfo>& endpoints,
                              const std::vector<Address>& addresses) override;
     void apply_stage(Build build, Stage stage, Phase phase, double cap, Seconds age) override;
     void set_trial_participation(TrialParticipation participation) override;
@@ -107,7 +107,7 @@
                             const LoadReport& load) override;
 
     // DiscoveryClient::Owner
-    void endpoint_list_received(EndpointListKind kind, const std::vector<EndpointInfo>& lines,
+    void endpoint_list_received(EndpointListKind kind, const std::vector<EndpointInfo>& endpoints,
                                 const std::vector<Address>& addresses) override;
     void endpoint_list_confirmed(Seconds as_of) override;
     void endpoint_list_unreadable(Seconds since) override;
@@ -128,7 +128,7 @@
     void request_effect_clearance(RequestId request, const OpenRequest& open, AttemptNumber number,
                                   const EndpointId& endpoint, Seconds stop_at);
     std::optional<GuardedAttempt> take_guarded_attempt(RequestId request);
-    void end_unsent(RequestId request, const GuardedAttempt& attempt, bool concluded);
+    void end_unsent_attempt(RequestId request, const GuardedAttempt& attempt, bool concluded);
     bool make_room_below(std::size_t descriptors);
     void conclude(RequestId request, std::string_view answer);
     // Forgets the request once it is concluded and has no attempt in flight.
--- a/src/net/sidecar_config.cpp
+++ b/src/net/sidecar_config.cpp
@@ -25,12 +25,12 @@
     return "'" + escaped.substr(1, escaped.size() - 2) + "'";
 }
 
-Address need_address(const json& from, const std::string& pointer) {
+Address required_address(const json& root, const std::string& pointer) {
     const json::json_pointer at(pointer);
-    if (!from.contains(at) || !from[at].is_string()) {
+    if (!root.contains(at) || !root[at].is_string()) {
         throw std::runtime_error(pointer.substr(1) + " is missing; required is host:port");
     }
-    const auto text = from[at].get<std::string>();
+    const auto text = root[at].get<std::string>();
     const auto address = address_of(text);
     if (!address) {
         throw std::runtime_error(pointer.substr(1) + " is " + quoted(text) +
@@ -39,11 +39,11 @@
     return *address;
 }
 
-std::uint64_t need_seed(const json& from) {
-    if (!from.contains("seed") || !from["seed"].is_string()) {
+std::uint64_t required_seed(const json& root) {
+    if (!root.contains("seed") || !root["seed"].is_string()) {
         throw std::runtime_error("seed is missing; required is a text of hex digits");
     }
-    const auto text = from["seed"].get<std::string>();
+    const auto text = root["seed"].get<std::string>();
     std::uint64_t seed = 0;
     if (std::from_chars(text.data(), text.data() + text.size(), seed, kHexBase).ec != std::errc{}) {
         throw std::runtime_error("seed is " + quoted(text) + "; allowed is a number in hex digits");
@@ -87,27 +87,27 @@
 SidecarConfig parse_config(const std::string& text) {
     SidecarConfig config;
     config.text = text;
-    const json from = json::parse(text, nullptr, false);
-    if (!from.is_object()) {
+    const json root = json::parse(text, nullptr, false);
+    if (!root.is_object()) {
         throw std::runtime_error("not a JSON object");
     }
-    config.name = from.contains("name") && from["name"].is_string()
-                      ? from["name"].get<std::string>()
+    config.name = root.contains("name") && root["name"].is_string()
+                      ? root["name"].get<std::string>()
                       : "sidecar";
-    config.listen = need_address(from, "/listen");
-    config.list = need_address(from, "/discovery");
-    config.platform = need_address(from, "/deployer/address");
-    config.seed = need_seed(from);
+    config.listen = required_address(root, "/listen");
+    config.discovery = required_address(root, "/discovery");
+    config.platform = required_address(root, "/deployer/address");
+    config.seed = required_seed(root);
     const json::json_pointer sockets("/limits/sockets");
-    if (from.contains(sockets) && from[sockets].is_number_unsigned()) {
-        config.sockets = from[sockets].get<std::size_t>();
+    if (root.contains(sockets) && root[sockets].is_number_unsigned()) {
+        config.max_descriptors = root[sockets].get<std::size_t>();
     }
-    config.known = from.value("known", json::object());
-    config.news = from["deployer"].value("news", json());
-    if (!from.contains("settings") || !from["settings"].is_object()) {
+    config.initial_endpoint_list = root.value("known", json::object());
+    config.initial_release_state = root["deployer"].value("news", json());
+    if (!root.contains("settings") || !root["settings"].is_object()) {
         throw std::runtime_error("settings is missing; required is a JSON object");
     }
-    config.settings = settings_from_json(from["settings"]);
+    config.settings = settings_from_json(root["settings"]);
     config.settings["list.told_within"] = kMaxEndpointListAge;
     config.settings["list.told_after_move"] = kMaxEndpointListAgeAfterMove;
     check_settings(config);
--- a/src/net/sidecar_config.hpp
+++ b/src/net/sidecar_config.hpp
@@ -13,12 +13,12 @@
 struct SidecarConfig {
     std::string name;
     Address listen;
-    Address list;  // of discovery
+    Address discovery;  // of discovery
     Address platform;
     std::uint64_t seed = 0;
-    std::size_t sockets = 0;  // descriptors; 0: no limit given
-    nlohmann::json known;     // the endpoint list to start with
-    nlohmann::json news;      // the release stage to start with
+    std::size_t max_descriptors = 0;       // descriptors; 0: no limit given
+    nlohmann::json initial_endpoint_list;  // the endpoint list to start with
+    nlohmann::json initial_release_state;  // the release stage to start with
     Settings settings;
     std::string text;                               // as it was read
     double need(const std::string& setting) const;  // throws std::runtime_error, naming the setting
--- a/src/net/sidecar_guarded_attempts.cpp
+++ b/src/net/sidecar_guarded_attempts.cpp
@@ -36,7 +36,7 @@
 }
 
 // The attempt did not go out. `concluded`: as the routing policy is to take the request.
-void Sidecar::end_unsent(RequestId request, const GuardedAttempt& attempt, bool concluded) {
+void Sidecar::end_unsent_attempt(RequestId request, const GuardedAttempt& attempt, bool concluded) {
     OpenRequest* open = requests_.find(request);
     if (!check_invariant(open != nullptr,
                          "an attempt that awaits the effect guard has an open request")) {
@@ -65,7 +65,7 @@
     }
     ++counters_.recalled;
     effect_guard_->attempt_ended(request, number, Outcome::never_sent, {});
-    end_unsent(request, attempt, open->concluded);
+    end_unsent_attempt(request, attempt, open->concluded);
 }
 
 void Sidecar::attempt_refused(RequestId request, Seconds retry_after) {
@@ -77,7 +77,7 @@
     if (!open->concluded) {
         reject(request, retry_after);
     }
-    end_unsent(request, *attempt, true);
+    end_unsent_attempt(request, *attempt, true);
 }
 
 void Sidecar::attempt_deferred(RequestId request) {
@@ -87,7 +87,7 @@
     }
     // For the routing policy the request is concluded: its end depends on another sidecar's
     // attempt.
-    end_unsent(request, *attempt, true);
+    end_unsent_attempt(request, *attempt, true);
 }
 
 void Sidecar::answer_found(RequestId request, std::string_view answer) {
--- a/src/net/sidecar_updates.cpp
+++ b/src/net/sidecar_updates.cpp
@@ -19,16 +19,17 @@
 
 // --- Discovery
 
-void Sidecar::endpoint_list_received(EndpointListKind kind, const std::vector<EndpointInfo>& lines,
+void Sidecar::endpoint_list_received(EndpointListKind kind,
+                                     const std::vector<EndpointInfo>& endpoints,
                                      const std::vector<Address>& addresses) {
     ++counters_.lists;
     if (observer_) {
-        observer_->endpoint_list_applied(discovery_.revision(), kind, lines, addresses);
+        observer_->endpoint_list_applied(discovery_.revision(), kind, endpoints, addresses);
     }
-    endpoints_.apply_list(kind, lines, addresses);
-    policy_->endpoints_updated(clock_now(), kind, lines);
+    endpoints_.apply_list(kind, endpoints, addresses);
+    policy_->endpoints_updated(clock_now(), kind, endpoints);
     endpoints_.review_waiting_exchanges();
-    if (has_endpoints_ || lines.empty()) {
+    if (has_endpoints_ || endpoints.empty()) {
         return;
     }
     has_endpoints_ = true;
@@ -92,10 +93,10 @@
 
 // --- Cluster
 
-void Sidecar::apply_endpoint_list(std::int64_t revision, const std::vector<EndpointInfo>& lines,
+void Sidecar::apply_endpoint_list(std::int64_t revision, const std::vector<EndpointInfo>& endpoints,
                                   const std::vector<Address>& addresses) {
-    discovery_.received_elsewhere(revision);
-    endpoint_list_received(EndpointListKind::complete, lines, addresses);
+    discovery_.advance_revision(revision);
+    endpoint_list_received(EndpointListKind::complete, endpoints, addresses);
     endpoint_list_confirmed(loop_.arrived_after());
 }
 
--- a/src/settings_from_json.cpp
+++ b/src/settings_from_json.cpp
@@ -11,7 +11,7 @@
 
 // Names of the JSON profile (lists without their positions) and of the settings. Names that are not
 // here are ignored.
-const std::map<std::string, std::string> kNames = {
+const std::map<std::string, std::string> kSettingNames = {
     {"areas", "locations"},
     {"ceilings.connectTimeoutUs", "allowed.connect_time"},
     {"ceilings.keepaliveUs", "allowed.keep_idle"},
@@ -86,7 +86,7 @@
 };
 
 // Values of the JSON profile and of the settings, by the name of the setting.
-const std::map<std::string, std::map<std::string, std::string>> kValues = {
+const std::map<std::string, std::map<std::string, std::string>> kSettingValues = {
     {"operations.effect",
      {{"free", "idempotent"}, {"guarded", "fingerprinted"}, {"single_shot", "side-effecting"}}},
     {"operations.group", {{"all", "all"}, {"zone", "location"}, {"cell", "cell"}}},
@@ -127,8 +127,8 @@
 }
 
 std::string setting_value(const std::string& name, const std::string& value) {
-    const auto values = kValues.find(name);
-    if (values == kValues.end()) {
+    const auto values = kSettingValues.find(name);
+    if (values == kSettingValues.end()) {
         return value;
     }
     const auto known = values->second.find(value);
@@ -146,8 +146,8 @@
             }
         } else if (value.is_array()) {
             visit_list(value, path, positions);
-        } else if (const auto name = kNames.find(path); name != kNames.end()) {
-            add(value, name->second, path.ends_with("Us"), positions);
+        } else if (const auto name = kSettingNames.find(path); name != kSettingNames.end()) {
+            add_setting(value, name->second, path.ends_with("Us"), positions);
         }
     }
     const Settings& settings() const {
@@ -156,7 +156,7 @@
 
   private:
     void visit_list(const json& list, const std::string& path, const Positions& positions) {
-        if (const auto name = kNames.find(path); name != kNames.end()) {
+        if (const auto name = kSettingNames.find(path); name != kSettingNames.end()) {
             settings_[name->second + ".count"] = static_cast<double>(list.size());
         }
         for (std::size_t i = 0; i < list.size(); ++i) {
@@ -165,8 +165,8 @@
             visit(list[i], path, inner);
         }
     }
-    void add(const json& value, const std::string& name, bool in_microseconds,
-             const Positions& positions) {
+    void add_setting(const json& value, const std::string& name, bool in_microseconds,
+                     const Positions& positions) {
         const std::string full_name = name_at(name, positions);
         if (value.is_boolean()) {
             settings_[full_name] = value.get<bool>() ? 1.0 : 0.0;
--- a/src/simulator/json_fields.hpp
+++ b/src/simulator/json_fields.hpp
@@ -46,8 +46,8 @@
     }
     return value;
 }
-inline std::int64_t integer_or(const json& from, const char* name, std::int64_t otherwise) {
-    return from.contains(name) ? integer(from, name) : otherwise;
+inline std::int64_t integer_or(const json& from, const char* name, std::int64_t default_value) {
+    return from.contains(name) ? integer(from, name) : default_value;
 }
 // A position in a list of `count` entries; 0 if the field is missing.
 inline int index_or_zero(const json& from, const char* name, int count) {
@@ -73,7 +73,7 @@
     return value.get<std::string>();
 }
 // False if the field is missing.
-inline bool flag(const json& from, const char* name) {
+inline bool boolean_or_false(const json& from, const char* name) {
     const auto it = from.find(name);
     if (it == from.end()) {
         return false;
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -31,15 +31,16 @@
 const std::map<std::string, EndpointState> kStates = {{"on", EndpointState::ready},
                                                       {"fading", EndpointState::draining},
                                                       {"off", EndpointState::removed}};
-const std::map<std::string, EndpointListKind> kLists = {{"incr", EndpointListKind::changes},
-                                                        {"total", EndpointListKind::complete},
-                                                        {"warm_copy", EndpointListKind::cached}};
+const std::map<std::string, EndpointListKind> kListKinds = {
+    {"incr", EndpointListKind::changes},
+    {"total", EndpointListKind::complete},
+    {"warm_copy", EndpointListKind::cached}};
 
 constexpr int kPhases = 4;  // values of Phase
 
 class SimulatorAdapter {
   public:
-    void batch(const json& line) {
+    void handle_batch(const json& line) {
         const auto time = integer(line, "timeUs");
         if (time < last_time_) {
             throw Malformed("'timeUs' is " + std::to_string(time) + "; allowed is at least " +
@@ -64,7 +65,7 @@
   private:
     void handle(const std::string& name, const json& event) {
         if (name == "SHEET") {
-            return store_list(event);
+            return store_endpoint_list(event);
         }
         const std::string id = text(event, "sidecarId");
         if (name == "LAUNCH") {
@@ -78,7 +79,7 @@
             sidecars_.erase(it);
             return;
         }
-        deliver(it->second, name, event);
+        dispatch(it->second, name, event);
     }
 
     void launch(const std::string& id, const json& event) {
@@ -97,7 +98,7 @@
 
     // Events of a running sidecar, by their name in the simulator's protocol. Sidecars share
     // nothing, so what one sends to another is ignored.
-    void deliver(SimulatedSidecar& sidecar, const std::string& name, const json& event) const {
+    void dispatch(SimulatedSidecar& sidecar, const std::string& name, const json& event) const {
         using Handler = void (SimulatorAdapter::*)(SimulatedSidecar&, const json&) const;
         static const std::map<std::string, Handler> handlers = {
             {"CALL", &SimulatorAdapter::request_arrived},
@@ -110,7 +111,7 @@
             {"DIGEST", &SimulatorAdapter::tally_received},
             {"FLAGGED", &SimulatorAdapter::answer_flagged},
             {"ABANDONED", &SimulatorAdapter::request_abandoned},
-            {"NOTE_FROM", &SimulatorAdapter::ignored},
+            {"NOTE_FROM", &SimulatorAdapter::ignore_event},
         };
         const auto handler = handlers.find(name);
         if (handler == handlers.end()) {
@@ -133,7 +134,7 @@
         if (event.contains("costUs")) {
             work = duration(event, "costUs");
         }
-        sidecar.with([&](RoutingPolicy& policy) {
+        sidecar.call_policy([&](RoutingPolicy& policy) {
             policy.request_arrived(now_, request, request_class, tenant, key, budget, work);
         });
     }
@@ -143,27 +144,27 @@
         const EndpointId endpoint{text(event, "pod")};
         const Outcome outcome = enum_value(event, "status", kOutcomes);
         const Seconds took = duration(event, "latencyUs");
-        const bool concluded = flag(event, "complete");
+        const bool concluded = boolean_or_false(event, "complete");
         const LoadReport load = load_of(event);
-        sidecar.with([&](RoutingPolicy& policy) {
+        sidecar.call_policy([&](RoutingPolicy& policy) {
             policy.attempt_ended(now_, request, number, endpoint, outcome, took, concluded, load);
         });
     }
     void timer_fired(SimulatedSidecar& sidecar, const json& event) const {
         const TimerId timer{static_cast<std::uint64_t>(integer(event, "token"))};
-        sidecar.with([&](RoutingPolicy& policy) { policy.timer_fired(now_, timer); });
+        sidecar.call_policy([&](RoutingPolicy& policy) { policy.timer_fired(now_, timer); });
     }
     void endpoints_updated(SimulatedSidecar& sidecar, const json& event) const {
         if (text(event, "mode") == "lost") {
-            return sidecar.with(
+            return sidecar.call_policy(
                 [&](RoutingPolicy& policy) { policy.watch_lost(now_, now_, WatchLoss::ended); });
         }
-        const EndpointListKind kind = enum_value(event, "mode", kLists);
+        const EndpointListKind kind = enum_value(event, "mode", kListKinds);
         const auto list = lists_.find(integer_or(event, "list", 0));
         if (list == lists_.end()) {
             throw Malformed("'list' is no list that was announced by a SHEET event");
         }
-        sidecar.with(
+        sidecar.call_policy(
             [&](RoutingPolicy& policy) { policy.endpoints_updated(now_, kind, list->second); });
     }
     // A release status, the answer to a vote, or both in one.
@@ -176,25 +177,26 @@
             const auto phase = static_cast<Phase>(index_or_zero(event, "standing", kPhases));
             const double cap = event.contains("exposure") ? number(event, "exposure") : 0;
             const Seconds age = duration(event, "behindUs");
-            sidecar.with([&](RoutingPolicy& policy) {
+            sidecar.call_policy([&](RoutingPolicy& policy) {
                 policy.stage_announced(now_, build, stage, phase, cap, age);
             });
         }
         if (answers_vote) {
-            sidecar.with([&](RoutingPolicy& policy) { policy.vote_answered(now_, status); });
+            sidecar.call_policy([&](RoutingPolicy& policy) { policy.vote_answered(now_, status); });
         }
     }
     void stream_started(SimulatedSidecar& sidecar, const json& event) const {
         const RequestId request = request_id_of(event);
         const AttemptNumber attempt{static_cast<int>(integer_or(event, "hop", 0))};
-        sidecar.with([&](RoutingPolicy& policy) { policy.stream_started(now_, request, attempt); });
+        sidecar.call_policy(
+            [&](RoutingPolicy& policy) { policy.stream_started(now_, request, attempt); });
     }
     void health_check_ended(SimulatedSidecar& sidecar, const json& event) const {
         const EndpointId endpoint{text(event, "pod")};
         const Outcome outcome = enum_value(event, "status", kOutcomes);
         const Seconds took = duration(event, "latencyUs");
         const LoadReport load = load_of(event);
-        sidecar.with([&](RoutingPolicy& policy) {
+        sidecar.call_policy([&](RoutingPolicy& policy) {
             policy.health_check_ended(now_, endpoint, outcome, took, load);
         });
     }
@@ -204,7 +206,7 @@
         const int count = static_cast<int>(integer_or(event, "count", 0));
         const int failed = static_cast<int>(integer_or(event, "notOk", 0));
         const Seconds mean = duration(event, "latencyUs");
-        sidecar.with([&](RoutingPolicy& policy) {
+        sidecar.call_policy([&](RoutingPolicy& policy) {
             policy.tally_received(now_, build, request_class, count, failed, mean);
         });
     }
@@ -212,15 +214,16 @@
         const RequestClass request_class{index_or_zero(event, "type", sidecar.request_classes())};
         const EndpointId endpoint{text(event, "pod")};
         const Seconds ago = duration(event, "behindUs");
-        sidecar.with([&](RoutingPolicy& policy) {
+        sidecar.call_policy([&](RoutingPolicy& policy) {
             policy.answer_flagged(now_, request_class, endpoint, ago);
         });
     }
     void request_abandoned(SimulatedSidecar& sidecar, const json& event) const {
         const RequestId request = request_id_of(event);
-        sidecar.with([&](RoutingPolicy& policy) { policy.request_abandoned(now_, request); });
+        sidecar.call_policy(
+            [&](RoutingPolicy& policy) { policy.request_abandoned(now_, request); });
     }
-    void ignored(SimulatedSidecar&, const json&) const {}
+    void ignore_event(SimulatedSidecar&, const json&) const {}
 
     static RequestId request_id_of(const json& event) {
         return RequestId{static_cast<std::uint64_t>(integer(event, "msgId"))};
@@ -244,26 +247,26 @@
         return load;
     }
 
-    void store_list(const json& event) {
+    void store_endpoint_list(const json& event) {
         const json& entries = field(event, "nodesList");
         if (!entries.is_array()) {
             throw Malformed("'nodesList' is not a list");
         }
-        std::vector<EndpointInfo> lines;
+        std::vector<EndpointInfo> endpoints;
         for (const json& entry : entries) {
-            EndpointInfo line;
-            line.id = EndpointId{text(entry, "pod")};
-            line.state = enum_value(entry, "lifecycle", kStates);
-            line.location = Location{static_cast<int>(integer_or(entry, "regionPart", 0))};
-            line.cell = Cell{static_cast<int>(integer_or(entry, "cohort", 0))};
-            line.kind = static_cast<int>(integer_or(entry, "flavor", 0));
-            line.weight = entry.contains("share") ? number(entry, "share") : 1;
-            line.build =
+            EndpointInfo endpoint;
+            endpoint.id = EndpointId{text(entry, "pod")};
+            endpoint.state = enum_value(entry, "lifecycle", kStates);
+            endpoint.location = Location{static_cast<int>(integer_or(entry, "regionPart", 0))};
+            endpoint.cell = Cell{static_cast<int>(integer_or(entry, "cohort", 0))};
+            endpoint.kind = static_cast<int>(integer_or(entry, "flavor", 0));
+            endpoint.weight = entry.contains("share") ? number(entry, "share") : 1;
+            endpoint.build =
                 Build{entry.contains("runs") ? static_cast<int>(number(entry, "runs")) : 0};
-            line.started = duration(entry, "bootTimeUs");
-            lines.push_back(std::move(line));
+            endpoint.started = duration(entry, "bootTimeUs");
+            endpoints.push_back(std::move(endpoint));
         }
-        lists_[integer_or(event, "list", 0)] = std::move(lines);
+        lists_[integer_or(event, "list", 0)] = std::move(endpoints);
     }
 
     std::map<std::string, SimulatedSidecar> sidecars_;
@@ -282,7 +285,7 @@
     std::string line;
     for (long number = 1; std::getline(std::cin, line); ++number) {
         try {
-            adapter.batch(nlohmann::json::parse(line));
+            adapter.handle_batch(nlohmann::json::parse(line));
         } catch (const std::exception& error) {
             std::cerr << "tideline_simulator_adapter: line " << number << ": " << error.what()
                       << '\n';
