--- a/src/replication/claimant_request.cpp
+++ b/src/replication/claimant_request.cpp
@@ -7,7 +7,8 @@
 
 using Action = RequestDecision::Action;
 
-constexpr std::size_t kAttemptsMost = 32;  // of one key; those known not to have run go first
+constexpr std::size_t kMaxRecordedAttempts =
+    32;  // of one key; those known not to have run go first
 
 RequestDecision reply_with(Reply reply, Record record) {
     return {Action::reply, reply, std::move(record)};
@@ -79,12 +80,12 @@
             attempt.outcome = AttemptOutcome::may_have_run;
         }
     }
-    if (record.attempts.size() >= kAttemptsMost) {
+    if (record.attempts.size() >= kMaxRecordedAttempts) {
         std::erase_if(record.attempts, [](const AttemptRecord& attempt) {
             return attempt.outcome == AttemptOutcome::not_run;
         });
     }
-    if (record.attempts.size() >= kAttemptsMost) {
+    if (record.attempts.size() >= kMaxRecordedAttempts) {
         return reply_with(Reply::uncertain, std::move(record));
     }
     record.attempts.push_back(request.attempt);
--- a/src/replication/effect_log_client.cpp
+++ b/src/replication/effect_log_client.cpp
@@ -12,10 +12,10 @@
 
 // Seconds: a request that waits is answered so long before its deadline.
 constexpr Seconds kReplyMargin = 0.02;
-constexpr unsigned kRequestBitsOfOneIncarnation = 24;  // requests to primaries, by number of bits
+constexpr unsigned kRequestBitsPerIncarnation = 24;  // requests to primaries, by number of bits
 
 std::uint64_t first_request_number(const Incarnation& incarnation) {
-    return incarnation.value << kRequestBitsOfOneIncarnation;
+    return incarnation.value << kRequestBitsPerIncarnation;
 }
 
 }  // namespace
@@ -53,7 +53,7 @@
     }
     // What waits for a former primary is sent to its successor at once.
     for (auto& [request, open] : open_requests_) {
-        if (open.phase != Phase::in_flight) {
+        if (open.phase != Phase::routing) {
             open.resend_at = now;
         }
     }
@@ -70,20 +70,20 @@
     OpenRequest& open = open_requests_[guarded.request];
     open.guarded = guarded;
     open.phase = Phase::claiming;
-    open.attempt_number = number;
+    open.policy_attempt_number = number;
     open.attempt = {{self_, incarnation_, guarded.request.value},
-                    open.attempt_count++,
+                    open.next_attempt_number++,
                     AttemptOutcome::in_flight,
                     location,
                     cell,
                     now};
     open.claimed_at = now;
-    forget_sent(open);
-    ask_primary(now, open);
+    forget_sent_requests(open);
+    send_to_primary(now, open);
 }
 
 // Sends the claim, or reads the record while an attempt of another is waited for.
-void EffectLogClient::ask_primary(Seconds now, OpenRequest& open) {
+void EffectLogClient::send_to_primary(Seconds now, OpenRequest& open) {
     const Key& key = open.guarded.key;
     const Name* const primary = primary_requests_.primary_of(key);
     open.resend_at = now + (open.phase == Phase::polling
@@ -92,30 +92,30 @@
     if (!primary) {
         return host_->request_table(TableVersion{primary_requests_.table_version().value + 1});
     }
-    open.number = primary_requests_.begin(now, *primary);
-    sent_requests_[open.number] = {open.guarded.request, now};
-    open.sent_numbers.push_back(open.number);
+    open.last_request_number = primary_requests_.begin_request(now, *primary);
+    sent_requests_[open.last_request_number] = {open.guarded.request, now};
+    open.sent_request_numbers.push_back(open.last_request_number);
     if (open.phase == Phase::polling) {
-        host_->send_read(*primary, open.number, key);
+        host_->send_read(*primary, open.last_request_number, key);
     } else {
-        host_->send_claim(*primary, open.number, key, open.guarded.content, open.attempt,
-                          open.known_version);
+        host_->send_claim(*primary, open.last_request_number, key, open.guarded.content,
+                          open.attempt, open.known_version);
     }
 }
 
 // What was sent for the request is answered for nobody any more.
-void EffectLogClient::forget_sent(OpenRequest& open) {
-    for (const RequestNumber number : open.sent_numbers) {
+void EffectLogClient::forget_sent_requests(OpenRequest& open) {
+    for (const RequestNumber number : open.sent_request_numbers) {
         sent_requests_.erase(number);
     }
-    open.sent_numbers.clear();
+    open.sent_request_numbers.clear();
 }
 
 // The attempt could not be replicated in time: it goes out all the same, or the request is
 // rejected, as the settings say. The claim may have been granted all the same, so it is withdrawn
 // with the rejection.
 void EffectLogClient::fail_claim(Seconds now, OpenRequest& open) {
-    forget_sent(open);
+    forget_sent_requests(open);
     if (!std::exchange(alarm_raised_, true)) {
         host_->on_alarm(fmt::format("replication too slow: requests={}",
                                     settings_.allow_unreplicated ? "unreplicated" : "rejected"));
@@ -123,24 +123,24 @@
     const RequestId request = open.guarded.request;
     if (settings_.allow_unreplicated) {
         ++unreplicated_;
-        open.phase = Phase::in_flight;
-        open.sent[open.attempt_number] = open.attempt;
-        return host_->on_cleared(request, open.attempt_number);
+        open.phase = Phase::routing;
+        open.sent_attempts[open.policy_attempt_number] = open.attempt;
+        return host_->on_cleared(request, open.policy_attempt_number);
     }
-    reject(now, open);
+    reject_request(now, open);
 }
 
 // The request may have run before its record was lost, so no attempt goes out, whatever the
 // settings allow for replicas that are only slow.
 void EffectLogClient::fail_for_lost_data(Seconds now, OpenRequest& open) {
-    forget_sent(open);
+    forget_sent_requests(open);
     if (!std::exchange(lost_data_alarm_raised_, true)) {
         host_->on_alarm("replicas lost: requests=rejected");
     }
-    reject(now, open);
+    reject_request(now, open);
 }
 
-void EffectLogClient::reject(Seconds now, OpenRequest& open) {
+void EffectLogClient::reject_request(Seconds now, OpenRequest& open) {
     const RequestId request = open.guarded.request;
     ++rejected_;
     withdraw_claim(now, open);
@@ -162,13 +162,13 @@
     if (open == open_requests_.end()) {
         return;
     }
-    const auto sent = open->second.sent.find(number);
-    if (sent == open->second.sent.end()) {
+    const auto sent = open->second.sent_attempts.find(number);
+    if (sent == open->second.sent_attempts.end()) {
         return;
     }
     AttemptRecord attempt = sent->second;
     attempt.outcome = outcome;
-    open->second.sent.erase(sent);
+    open->second.sent_attempts.erase(sent);
     notifications_.settle(now, open->second.guarded.key, attempt, answer, primary_requests_,
                           *host_);
 }
@@ -178,10 +178,10 @@
     if (open == open_requests_.end()) {
         return;
     }
-    if (open->second.phase != Phase::in_flight) {
+    if (open->second.phase != Phase::routing) {
         withdraw_claim(now, open->second);
     }
-    forget_sent(open->second);
+    forget_sent_requests(open->second);
     open_requests_.erase(open);
 }
 
@@ -196,39 +196,39 @@
 void EffectLogClient::tick(Seconds now) {
     std::vector<RequestId> waiting;
     for (const auto& [request, open] : open_requests_) {
-        if (open.phase != Phase::in_flight) {
+        if (open.phase != Phase::routing) {
             waiting.push_back(request);
         }
     }
     for (const RequestId request : waiting) {
         if (const auto open = open_requests_.find(request); open != open_requests_.end()) {
-            drive_request(now, open->second);
+            expire_or_resend_request(now, open->second);
         }
     }
     notifications_.tick(now, primary_requests_, *host_);
 }
 
 // Ends a request whose time is up, or asks again when it is time. May erase `open`.
-void EffectLogClient::drive_request(Seconds now, OpenRequest& open) {
+void EffectLogClient::expire_or_resend_request(Seconds now, OpenRequest& open) {
     const Seconds answer_at = open.guarded.deadline - kReplyMargin;
     if (open.phase == Phase::claiming &&
         now >= std::min(open.claimed_at + settings_.claim_timeout, answer_at)) {
         fail_claim(now, open);
     } else if (open.phase == Phase::polling && now >= answer_at) {
         const RequestId request = open.guarded.request;
-        forget_sent(open);
+        forget_sent_requests(open);
         withdraw_claim(now, open);
         open_requests_.erase(request);
         host_->on_effect_unknown(request);
     } else if (now >= open.resend_at) {
-        ask_primary(now, open);
+        send_to_primary(now, open);
     }
 }
 
 Seconds EffectLogClient::due() const {
     Seconds next = std::numeric_limits<double>::infinity();
     for (const auto& [request, open] : open_requests_) {
-        if (open.phase == Phase::in_flight) {
+        if (open.phase == Phase::routing) {
             continue;
         }
         next = std::min({next, open.resend_at, open.guarded.deadline - kReplyMargin});
@@ -246,10 +246,11 @@
 std::string EffectLogClient::state() const {
     std::string text;
     for (const auto& [request, open] : open_requests_) {
-        text += fmt::format(
-            "i{}.{}.{}.{}{}", request.value, static_cast<int>(open.phase), open.attempt.number,
-            open.number.value - first_request_number(incarnation_), open.known_version ? "k" : "");
-        for (const RequestNumber number : open.sent_numbers) {
+        text += fmt::format("i{}.{}.{}.{}{}", request.value, static_cast<int>(open.phase),
+                            open.attempt.number,
+                            open.last_request_number.value - first_request_number(incarnation_),
+                            open.known_version ? "k" : "");
+        for (const RequestNumber number : open.sent_request_numbers) {
             text += fmt::format("s{}{}", number.value - first_request_number(incarnation_),
                                 sent_requests_.contains(number) ? "" : "-");
         }
--- a/src/replication/effect_log_client.hpp
+++ b/src/replication/effect_log_client.hpp
@@ -100,26 +100,26 @@
   private:
     // claiming: an attempt waits for its claim. in_flight: nothing is asked; attempts are out, or
     // the policy chooses again. polling: an attempt of another is waited for.
-    enum class Phase { claiming, in_flight, polling };
+    enum class Phase { claiming, routing, polling };
     struct OpenRequest {
         GuardedRequest guarded;
         Phase phase = Phase::claiming;
         // The newest attempt, and its number in the policy.
         AttemptRecord attempt;
-        AttemptNumber attempt_number;
+        AttemptNumber policy_attempt_number;
         // Number of the next attempt in the effect log: never used twice by one request.
-        int attempt_count = 0;
+        int next_attempt_number = 0;
         // Attempts that went out and have not ended.
-        std::map<AttemptNumber, AttemptRecord> sent;
+        std::map<AttemptNumber, AttemptRecord> sent_attempts;
         // Version of the record by which this knows of the attempts of others.
         std::optional<Version> known_version;
         // Since when the newest attempt is claimed.
         Seconds claimed_at = 0;
         Seconds resend_at = 0;
         // Of the request to a primary that was sent last; 0: none.
-        RequestNumber number;
+        RequestNumber last_request_number;
         // Those in `sent_requests_` that are of this request.
-        std::vector<RequestNumber> sent_numbers;
+        std::vector<RequestNumber> sent_request_numbers;
     };
     // A claim or read that may still be answered: sent again, an earlier sending still counts.
     struct SentRequest {
@@ -127,16 +127,17 @@
         Seconds sent_at = 0;
     };
 
-    void ask_primary(Seconds now, OpenRequest& open);
-    void drive_request(Seconds now, OpenRequest& open);
+    void send_to_primary(Seconds now, OpenRequest& open);
+    void expire_or_resend_request(Seconds now, OpenRequest& open);
     void fail_claim(Seconds now, OpenRequest& open);
     void fail_for_lost_data(Seconds now, OpenRequest& open);
-    void reject(Seconds now, OpenRequest& open);
+    void reject_request(Seconds now, OpenRequest& open);
     void withdraw_claim(Seconds now, const OpenRequest& open);
-    void forget_sent(OpenRequest& open);
+    void forget_sent_requests(OpenRequest& open);
     void on_claim_reply(Seconds now, OpenRequest& open, Reply reply, const Record* record,
-                        Seconds asked_at);
-    void apply_record(Seconds now, OpenRequest& open, const Record* record, Seconds asked_at);
+                        Seconds request_sent_at);
+    void apply_record(Seconds now, OpenRequest& open, const Record* record,
+                      Seconds request_sent_at);
 
     EffectLogClientHost* host_;
     EffectLogClientSettings settings_;
--- a/src/replication/effect_log_replies.cpp
+++ b/src/replication/effect_log_replies.cpp
@@ -28,21 +28,21 @@
     if (reply == Reply::try_again) {
         return;  // what was sent may still be answered
     }
-    const Seconds asked_at = sent->second.sent_at;
+    const Seconds request_sent_at = sent->second.sent_at;
     sent_requests_.erase(sent);
     if (open.phase == Phase::claiming) {
-        return on_claim_reply(now, open, reply, record, asked_at);
+        return on_claim_reply(now, open, reply, record, request_sent_at);
     }
     if (open.phase == Phase::polling && reply == Reply::record_read) {
         open.resend_at = now + settings_.poll_interval;
-        apply_record(now, open, record, asked_at);
+        apply_record(now, open, record, request_sent_at);
     }
 }
 
 // The reply to a claim, before the attempt went out. After a reply that is not named here the claim
 // is sent again soon.
 void EffectLogClient::on_claim_reply(Seconds now, OpenRequest& open, Reply reply,
-                                     const Record* record, Seconds asked_at) {
+                                     const Record* record, Seconds request_sent_at) {
     const RequestId request = open.guarded.request;
     switch (reply) {
         case Reply::granted:
@@ -51,25 +51,25 @@
             if (now >= open.claimed_at + settings_.claim_timeout) {
                 return fail_claim(now, open);
             }
-            forget_sent(open);
+            forget_sent_requests(open);
             ++granted_;
             alarm_raised_ = false;
             lost_data_alarm_raised_ = false;
-            open.phase = Phase::in_flight;
-            open.sent[open.attempt_number] = open.attempt;
-            return host_->on_cleared(request, open.attempt_number);
+            open.phase = Phase::routing;
+            open.sent_attempts[open.policy_attempt_number] = open.attempt;
+            return host_->on_cleared(request, open.policy_attempt_number);
         case Reply::answered:
         case Reply::running:
         case Reply::uncertain:
-            forget_sent(open);
+            forget_sent_requests(open);
             open.phase = Phase::polling;
             open.resend_at = now + settings_.poll_interval;
             host_->on_deferred(request);
-            return apply_record(now, open, record, asked_at);
+            return apply_record(now, open, record, request_sent_at);
         case Reply::data_lost:
             return fail_for_lost_data(now, open);
         case Reply::key_conflict:
-            forget_sent(open);
+            forget_sent_requests(open);
             withdraw_claim(now, open);
             open_requests_.erase(request);
             host_->on_deferred(request);
@@ -82,12 +82,12 @@
 // Decides a request that is deferred by the record of its key: answers it, keeps it waiting while
 // an attempt of another runs, or gives it back to the policy.
 void EffectLogClient::apply_record(Seconds now, OpenRequest& open, const Record* record,
-                                   Seconds asked_at) {
+                                   Seconds request_sent_at) {
     const RequestId request = open.guarded.request;
     if (record && record->answered) {
         ++deduplicated_;
         const std::string answer = record->answer;
-        forget_sent(open);
+        forget_sent_requests(open);
         withdraw_claim(now, open);
         open_requests_.erase(request);
         return host_->on_answer_found(request, answer);
@@ -104,13 +104,13 @@
             earlier.push_back(attempt);
             // The primary counted from when it answered; that was no earlier than when it was
             // asked.
-            earlier.back().sent_at -= now - asked_at;
+            earlier.back().sent_at -= now - request_sent_at;
         }
     }
     if (running) {
         return;
     }
-    forget_sent(open);
+    forget_sent_requests(open);
     withdraw_claim(now, open);
     if (!earlier.empty() && !open.guarded.idempotent) {
         open_requests_.erase(request);
@@ -120,7 +120,7 @@
     if (!earlier.empty()) {
         open.known_version = record->version;
     }
-    open.phase = Phase::in_flight;  // until the policy has chosen again
+    open.phase = Phase::routing;  // until the policy has chosen again
     host_->on_returned(request, earlier);
 }
 
--- a/src/replication/effect_log_settings.hpp
+++ b/src/replication/effect_log_settings.hpp
@@ -21,8 +21,8 @@
 };
 
 // Notifications that wait for a primary to take them; beyond this the oldest is given up.
-inline constexpr std::size_t kNotificationsMost = 20000;
+inline constexpr std::size_t kMaxNotifications = 20000;
 // The longest interval in seconds between two sendings of one notification.
-inline constexpr Seconds kNotificationIntervalMost = 2;
+inline constexpr Seconds kMaxNotificationInterval = 2;
 
 }  // namespace tideline::replication
--- a/src/replication/local_writes.hpp
+++ b/src/replication/local_writes.hpp
@@ -27,7 +27,7 @@
     // The disk has this write and all before it. Sends the answers that waited for them.
     void on_stored(ReplicaHost& host, WriteNumber up_to);
 
-    WriteNumber last() const {
+    WriteNumber last_write() const {
         return last_write_;
     }
     bool is_stored(WriteNumber number) const {
@@ -46,12 +46,12 @@
         Name to;
         MessageNumber number;
         // An answer to digests; otherwise an acknowledgement, without the two lists.
-        bool differences = false;
+        bool has_differences = false;
         std::vector<std::size_t> ranges;
         std::vector<KeyVersion> key_versions;
     };
 
-    WriteNumber next();
+    WriteNumber take_next_number();
     void answer_when_stored(ReplicaHost& host, PendingAnswer answer);
     void send_stored_answers(ReplicaHost& host);
 
--- a/src/replication/member_health.cpp
+++ b/src/replication/member_health.cpp
@@ -5,10 +5,10 @@
 namespace tideline::replication {
 namespace {
 
-constexpr Seconds kComplaintAgeMost = 3;  // seconds: an older complaint does not count
+constexpr Seconds kMaxComplaintAge = 3;  // seconds: an older complaint does not count
 // A primary is excluded once so many members report that it does not answer. A primary that is
 // reported to get no acknowledgement of so many members is excluded itself.
-constexpr std::size_t kComplaintsLeast = 2;
+constexpr std::size_t kMinComplaints = 2;
 
 // Members, by the primary of their shards.
 struct MembersByPrimary {
@@ -34,7 +34,7 @@
             for (const Name& name : *names) {
                 const std::optional<Seconds> lagging_at =
                     primary_reports.lagging_at(ShardId{i}, name);
-                if (lagging_at && now < *lagging_at + kReportAgeMost) {
+                if (lagging_at && now < *lagging_at + kMaxReplicaReportAge) {
                     members.lagging[primary].insert(name);
                 }
             }
@@ -59,7 +59,7 @@
     : absence_limit_(settings.absence_limit), cooldown_(settings.cooldown) {}
 
 void MemberHealth::lease_acquired(Seconds now, const ReplicaTable& table) {
-    lease_since_ = now;
+    lease_acquired_at_ = now;
     apply_table(table);
     removed_members_ = table.removed_members;
     for (auto& [name, member] : members_) {
@@ -140,19 +140,19 @@
     std::map<Name, std::size_t> complaints;
     std::size_t reporters = 0;
     for (const auto& [name, member] : members_) {
-        if (member.present && now < member.reported_at + kReportAgeMost) {
+        if (member.present && now < member.reported_at + kMaxReplicaReportAge) {
             ++reporters;
         }
         for (const auto& [primary, reported_at] : member.silent_primaries) {
             std::size_t& count = complaints[primary];
-            if (primary != name && now < reported_at + kComplaintAgeMost) {
+            if (primary != name && now < reported_at + kMaxComplaintAge) {
                 ++count;
             }
         }
     }
     for (const auto& [name, count] : complaints) {
         // Half of the others have to complain: a lower count may be a fault of those who do.
-        if (reporters > 0 && count >= kComplaintsLeast && 2 * count >= reporters - 1) {
+        if (reporters > 0 && count >= kMinComplaints && 2 * count >= reporters - 1) {
             exclude(now, {name, ExclusionReason::silent, count}, excluded);
         }
     }
@@ -172,7 +172,7 @@
                 return member != members_.end() && member->second.present;
             }));
         const bool primary_at_fault =
-            present >= kComplaintsLeast && 2 * present > members.backups[primary].size();
+            present >= kMinComplaints && 2 * present > members.backups[primary].size();
         for (const Name& name : primary_at_fault ? std::set<Name>{primary} : lagging) {
             exclude(now, {name, ExclusionReason::lagging, lagging.size()}, excluded);
         }
@@ -196,10 +196,10 @@
     }
     const MemberState& member = it->second;
     return member.present && member.report && member.report->disk_works &&
-           now < member.reported_at + kReportAgeMost && now >= member.excluded_until;
+           now < member.reported_at + kMaxReplicaReportAge && now >= member.excluded_until;
 }
 
-bool MemberHealth::is_counted_on(Seconds now, const Name& name) const {
+bool MemberHealth::is_placement_candidate(Seconds now, const Name& name) const {
     const auto it = members_.find(name);
     if (it == members_.end() || removed_members_.contains(name)) {
         return false;
@@ -209,24 +209,24 @@
         return false;
     }
     if (member.present) {
-        return member.report.has_value() || now < lease_since_ + kReportAgeMost;
+        return member.report.has_value() || now < lease_acquired_at_ + kMaxReplicaReportAge;
     }
-    return now < std::max(member.presence_changed_at, lease_since_) + absence_limit_;
+    return now < std::max(member.presence_changed_at, lease_acquired_at_) + absence_limit_;
 }
 
 bool MemberHealth::is_unavailable(Seconds now, ShardId shard_id, const Name& name) const {
-    return is_out_of_reach(now, shard_id, name) ||
-           (is_excluded(now, name) && !is_spared(now, shard_id, name));
+    return is_unreachable_or_lost(now, shard_id, name) ||
+           (is_excluded(now, name) && !is_exempt_from_exclusion(now, shard_id, name));
 }
 
-bool MemberHealth::is_out_of_reach(Seconds now, ShardId shard_id, const Name& name) const {
+bool MemberHealth::is_unreachable_or_lost(Seconds now, ShardId shard_id, const Name& name) const {
     if (is_lost(name, shard_id)) {
         return true;
     }
     const auto it = members_.find(name);
     // A new lease holder may not have heard of the member yet: that is no sign of a failure.
     if (it == members_.end()) {
-        return now > lease_since_ + absence_limit_;
+        return now > lease_acquired_at_ + absence_limit_;
     }
     const MemberState& member = it->second;
     return !member.present || (member.report && !member.report->disk_works);
@@ -239,13 +239,13 @@
 
 // Whether the member counts for the shard although it is excluded: all replicas within reach are,
 // and it is the first of them.
-bool MemberHealth::is_spared(Seconds now, ShardId shard_id, const Name& name) const {
+bool MemberHealth::is_exempt_from_exclusion(Seconds now, ShardId shard_id, const Name& name) const {
     if (shard_id.value >= replicas_.size()) {
         return false;
     }
     const Name* first = nullptr;
     for (const Name& replica : replicas_[shard_id.value]) {
-        if (is_out_of_reach(now, shard_id, replica)) {
+        if (is_unreachable_or_lost(now, shard_id, replica)) {
             continue;
         }
         if (!is_excluded(now, replica)) {
@@ -260,7 +260,7 @@
     const auto it = members_.find(name);
     return !is_unavailable(now, shard_id, name) && it != members_.end() && it->second.report &&
            it->second.report->table_version == table_version_ &&
-           now < it->second.reported_at + kReportAgeMost;
+           now < it->second.reported_at + kMaxReplicaReportAge;
 }
 
 bool MemberHealth::is_lost(const Name& name, ShardId shard_id) const {
--- a/src/replication/member_health.hpp
+++ b/src/replication/member_health.hpp
@@ -72,7 +72,7 @@
     // May become a replica: present, with a recent report and a disk that works.
     bool is_healthy(Seconds now, const Name& name) const;
     // Has a place in the ideal replica sets: present, or absent for less than the limit.
-    bool is_counted_on(Seconds now, const Name& name) const;
+    bool is_placement_candidate(Seconds now, const Name& name) const;
     // Its replica of the shard is out of reach or lost, or it is excluded. Exclusions never take
     // the last replica within reach, which is the only one that the shard can be repaired from.
     bool is_unavailable(Seconds now, ShardId shard_id, const Name& name) const;
@@ -88,15 +88,16 @@
     const std::set<Name>& removed_members() const {
         return removed_members_;
     }
-    // When the lease was acquired: until kReportAgeMost later, reports may still be on their way.
-    Seconds lease_since() const {
-        return lease_since_;
+    // When the lease was acquired: until kMaxReplicaReportAge later, reports may still be on their
+    // way.
+    Seconds lease_acquired_at() const {
+        return lease_acquired_at_;
     }
 
   private:
-    bool is_out_of_reach(Seconds now, ShardId shard_id, const Name& name) const;
+    bool is_unreachable_or_lost(Seconds now, ShardId shard_id, const Name& name) const;
     bool is_excluded(Seconds now, const Name& name) const;
-    bool is_spared(Seconds now, ShardId shard_id, const Name& name) const;
+    bool is_exempt_from_exclusion(Seconds now, ShardId shard_id, const Name& name) const;
     void exclude_silent_primaries(Seconds now, std::vector<Exclusion>& excluded);
     void exclude_lagging(Seconds now, const ReplicaTable& table,
                          const PrimaryReports& primary_reports, std::vector<Exclusion>& excluded);
@@ -112,7 +113,7 @@
     TableVersion table_version_;
     // Of the newest table: the replicas of each shard, its primary first.
     std::vector<std::vector<Name>> replicas_;
-    Seconds lease_since_ = 0;
+    Seconds lease_acquired_at_ = 0;
 };
 
 }  // namespace tideline::replication
--- a/src/replication/message_sender.cpp
+++ b/src/replication/message_sender.cpp
@@ -6,8 +6,8 @@
 namespace tideline::replication {
 namespace {
 
-wire::HeldAsk& request(wire::Holding& message, wire::HeldAsk::What what, RequestNumber number,
-                       const Key& key) {
+wire::HeldAsk& fill_request(wire::Holding& message, wire::HeldAsk::What what, RequestNumber number,
+                            const Key& key) {
     wire::HeldAsk& fields = *message.mutable_ask();
     fields.set_what(what);
     fields.set_no(number.value);
@@ -103,7 +103,7 @@
                                std::uint64_t content, const AttemptRecord& attempt,
                                std::optional<Version> known_version) {
     wire::Holding message;
-    wire::HeldAsk& fields = request(message, wire::HeldAsk::CLAIM, number, key);
+    wire::HeldAsk& fields = fill_request(message, wire::HeldAsk::CLAIM, number, key);
     put(time(), attempt, *fields.mutable_its());
     fields.set_content(content);
     fields.set_knows(known_version.has_value());
@@ -116,7 +116,7 @@
 void MessageSender::send_settle(const Name& primary, RequestNumber number, const Key& key,
                                 const AttemptRecord& attempt, const std::string& answer) {
     wire::Holding message;
-    wire::HeldAsk& fields = request(message, wire::HeldAsk::SETTLE, number, key);
+    wire::HeldAsk& fields = fill_request(message, wire::HeldAsk::SETTLE, number, key);
     put(time(), attempt, *fields.mutable_its());
     fields.set_bytes(answer);
     post(primary, message);
@@ -124,12 +124,12 @@
 void MessageSender::send_bytes(const Name& primary, RequestNumber number, const Key& key,
                                const std::string& bytes) {
     wire::Holding message;
-    request(message, wire::HeldAsk::KEEP, number, key).set_bytes(bytes);
+    fill_request(message, wire::HeldAsk::KEEP, number, key).set_bytes(bytes);
     post(primary, message);
 }
 void MessageSender::send_read(const Name& primary, RequestNumber number, const Key& key) {
     wire::Holding message;
-    request(message, wire::HeldAsk::LOOK, number, key);
+    fill_request(message, wire::HeldAsk::LOOK, number, key);
     post(primary, message);
 }
 
--- a/src/replication/notifications.cpp
+++ b/src/replication/notifications.cpp
@@ -16,7 +16,7 @@
     notification.key = key;
     notification.attempt = attempt;
     notification.bytes = answer;
-    add(now, std::move(notification), requests, host);
+    add_notification(now, std::move(notification), requests, host);
 }
 
 void Notifications::store_bytes(Seconds now, const Key& key, const std::string& bytes,
@@ -25,7 +25,7 @@
     notification.kind = Notification::Kind::store_bytes;
     notification.key = key;
     notification.bytes = bytes;
-    add(now, std::move(notification), requests, host);
+    add_notification(now, std::move(notification), requests, host);
 }
 
 void Notifications::read(Seconds now, const Key& key, PrimaryRequests& requests,
@@ -33,34 +33,34 @@
     Notification notification;
     notification.kind = Notification::Kind::read;
     notification.key = key;
-    add(now, std::move(notification), requests, host);
+    add_notification(now, std::move(notification), requests, host);
 }
 
-void Notifications::add(Seconds now, Notification notification, PrimaryRequests& requests,
-                        EffectLogClientHost& host) {
-    if (notifications_.size() >= kNotificationsMost) {
-        ids_.erase(notifications_.begin()->second.number);
+void Notifications::add_notification(Seconds now, Notification notification,
+                                     PrimaryRequests& requests, EffectLogClientHost& host) {
+    if (notifications_.size() >= kMaxNotifications) {
+        ids_by_request_.erase(notifications_.begin()->second.number);
         notifications_.erase(notifications_.begin());
     }
     const NotificationId id = ++last_id_;
     notification.since = now;
     Notification& added = notifications_[id] = std::move(notification);
-    send(now, id, added, requests, host);
+    send_notification(now, id, added, requests, host);
 }
 
 // Sends to the primary, if it is known. The intervals between two sendings grow.
-void Notifications::send(Seconds now, NotificationId id, Notification& notification,
-                         PrimaryRequests& requests, EffectLogClientHost& host) {
-    ids_.erase(notification.number);
+void Notifications::send_notification(Seconds now, NotificationId id, Notification& notification,
+                                      PrimaryRequests& requests, EffectLogClientHost& host) {
+    ids_by_request_.erase(notification.number);
     notification.resend_at =
         now + std::clamp((now - notification.since) / 2, 2 * settings_.resend_interval,
-                         kNotificationIntervalMost);
+                         kMaxNotificationInterval);
     const Name* const primary = requests.primary_of(notification.key);
     if (!primary) {
         return;
     }
-    notification.number = requests.begin(now, *primary);
-    ids_[notification.number] = id;
+    notification.number = requests.begin_request(now, *primary);
+    ids_by_request_[notification.number] = id;
     switch (notification.kind) {
         case Notification::Kind::settle:
             return host.send_settle(*primary, notification.number, notification.key,
@@ -81,12 +81,12 @@
 
 bool Notifications::on_reply(RequestNumber number, Reply reply, const Record* record,
                              PrimaryRequests& requests, EffectLogClientHost& host) {
-    const auto id = ids_.find(number);
-    if (id == ids_.end()) {
+    const auto id = ids_by_request_.find(number);
+    if (id == ids_by_request_.end()) {
         return false;
     }
     const auto notification = notifications_.find(id->second);
-    ids_.erase(id);
+    ids_by_request_.erase(id);
     if (notification == notifications_.end()) {
         return true;
     }
@@ -104,13 +104,13 @@
     std::erase_if(notifications_, [&](const auto& each) {
         const bool timed_out = now > each.second.since + settings_.notification_timeout;
         if (timed_out) {
-            ids_.erase(each.second.number);
+            ids_by_request_.erase(each.second.number);
         }
         return timed_out;
     });
     for (auto& [id, notification] : notifications_) {
         if (now >= notification.resend_at) {
-            send(now, id, notification, requests, host);
+            send_notification(now, id, notification, requests, host);
         }
     }
 }
--- a/src/replication/notifications.hpp
+++ b/src/replication/notifications.hpp
@@ -56,16 +56,16 @@
         RequestNumber number;
     };
 
-    void add(Seconds now, Notification notification, PrimaryRequests& requests,
-             EffectLogClientHost& host);
-    void send(Seconds now, NotificationId id, Notification& notification, PrimaryRequests& requests,
-              EffectLogClientHost& host);
+    void add_notification(Seconds now, Notification notification, PrimaryRequests& requests,
+                          EffectLogClientHost& host);
+    void send_notification(Seconds now, NotificationId id, Notification& notification,
+                           PrimaryRequests& requests, EffectLogClientHost& host);
 
     EffectLogClientSettings settings_;
-    // In the order in which they were added; at most kNotificationsMost.
+    // In the order in which they were added; at most kMaxNotifications.
     std::map<NotificationId, Notification> notifications_;
     // By the number of the request that was sent last. May name one that was given up.
-    std::map<RequestNumber, NotificationId> ids_;
+    std::map<RequestNumber, NotificationId> ids_by_request_;
     NotificationId last_id_ = 0;
 };
 
--- a/src/replication/pending_operations.cpp
+++ b/src/replication/pending_operations.cpp
@@ -20,8 +20,8 @@
     return operation.awaited.empty() && local_writes.is_stored(operation.local_write);
 }
 
-std::vector<OperationNumber> PendingOperations::ready(const LocalWrites& local_writes,
-                                                      std::optional<ShardId> shard_id) const {
+std::vector<OperationNumber> PendingOperations::ready_operations(
+    const LocalWrites& local_writes, std::optional<ShardId> shard_id) const {
     std::vector<OperationNumber> numbers;
     for (const auto& [number, operation] : operations_) {
         const bool of_shard = !shard_id || operation.shard_id == *shard_id;
@@ -32,7 +32,8 @@
     return numbers;
 }
 
-std::vector<OperationNumber> PendingOperations::overdue(Seconds now, Seconds interval) const {
+std::vector<OperationNumber> PendingOperations::overdue_operations(Seconds now,
+                                                                   Seconds interval) const {
     std::vector<OperationNumber> numbers;
     for (const auto& [number, operation] : operations_) {
         if (!operation.awaited.empty() && now >= operation.sent_at + interval) {
@@ -42,7 +43,8 @@
     return numbers;
 }
 
-std::set<std::pair<ShardId, Name>> PendingOperations::lagging(Seconds now, Seconds limit) const {
+std::set<std::pair<ShardId, Name>> PendingOperations::lagging_members(Seconds now,
+                                                                      Seconds limit) const {
     std::set<std::pair<ShardId, Name>> members;
     for (const auto& [number, operation] : operations_) {
         for (const auto& [name, since] : operation.awaited) {
--- a/src/replication/pending_operations.hpp
+++ b/src/replication/pending_operations.hpp
@@ -59,12 +59,12 @@
     // Whether it waits neither for a member nor for the own disk.
     static bool is_ready(const Operation& operation, const LocalWrites& local_writes);
     // Those that are ready, of one shard or of all, in order.
-    std::vector<OperationNumber> ready(const LocalWrites& local_writes,
-                                       std::optional<ShardId> shard_id = std::nullopt) const;
+    std::vector<OperationNumber> ready_operations(
+        const LocalWrites& local_writes, std::optional<ShardId> shard_id = std::nullopt) const;
     // Those that were sent last at least `interval` ago and wait for members, in order.
-    std::vector<OperationNumber> overdue(Seconds now, Seconds interval) const;
+    std::vector<OperationNumber> overdue_operations(Seconds now, Seconds interval) const;
     // Members that have not acknowledged an operation for longer than `limit`, with its shard.
-    std::set<std::pair<ShardId, Name>> lagging(Seconds now, Seconds limit) const;
+    std::set<std::pair<ShardId, Name>> lagging_members(Seconds now, Seconds limit) const;
 
     // In the order of their numbers.
     Map& all() {
--- a/src/replication/placement.cpp
+++ b/src/replication/placement.cpp
@@ -19,10 +19,10 @@
         return a.first != b.first ? a.first > b.first : *a.second < *b.second;
     });
     std::vector<Name> chosen;
-    std::set<Place> used;
+    std::set<Place> used_places;
     // Two replicas in one place are lost together. Only a replica for which there is no further
     // place goes where one is.
-    for (const bool anywhere : {false, true}) {
+    for (const bool may_share_place : {false, true}) {
         for (const auto& [weight, name] : order) {
             if (chosen.size() >= wanted) {
                 return chosen;
@@ -30,7 +30,7 @@
             if (std::find(chosen.begin(), chosen.end(), *name) != chosen.end()) {
                 continue;
             }
-            if (used.insert(members.at(*name)).second || anywhere) {
+            if (used_places.insert(members.at(*name)).second || may_share_place) {
                 chosen.push_back(*name);
             }
         }
--- a/src/replication/primary_requests.cpp
+++ b/src/replication/primary_requests.cpp
@@ -19,10 +19,10 @@
     return &table_.replica_set(key).primary();
 }
 
-RequestNumber PrimaryRequests::begin(Seconds now, const Name& primary) {
+RequestNumber PrimaryRequests::begin_request(Seconds now, const Name& primary) {
     Unanswered& unanswered = unanswered_.try_emplace(primary, Unanswered{now, now}).first->second;
     // A request that nobody repeats may not count as a complaint for good.
-    if (now > unanswered.last_request_at + kNotificationIntervalMost + claim_timeout_) {
+    if (now > unanswered.last_request_at + kMaxNotificationInterval + claim_timeout_) {
         unanswered.since = now;
     }
     unanswered.last_request_at = now;
@@ -39,7 +39,7 @@
     std::set<Name> names;
     for (const auto& [name, unanswered] : unanswered_) {
         if (now > unanswered.since + 2 * claim_timeout_ &&
-            now < unanswered.last_request_at + kNotificationIntervalMost + claim_timeout_) {
+            now < unanswered.last_request_at + kMaxNotificationInterval + claim_timeout_) {
             names.insert(name);
         }
     }
--- a/src/replication/primary_requests.hpp
+++ b/src/replication/primary_requests.hpp
@@ -27,7 +27,7 @@
     const Name* primary_of(const Key& key) const;
 
     // A request to the primary goes out now. Returns its number.
-    RequestNumber begin(Seconds now, const Name& primary);
+    RequestNumber begin_request(Seconds now, const Name& primary);
     // The primary of the key has answered.
     void on_reply(const Key& key);
     // Primaries that have not answered for twice the claim timeout, although asked of late.
--- a/src/replication/repair_alarms.cpp
+++ b/src/replication/repair_alarms.cpp
@@ -12,9 +12,9 @@
 constexpr const char* kDataLostKey = "blind";
 
 // s: a text is told again no sooner, as each telling is an entry in the planners' log.
-constexpr Seconds kTextInterval = 5;
+constexpr Seconds kTextUpdateInterval = 5;
 
-std::string joined(const std::set<Name>& names) {
+std::string join_names(const std::set<Name>& names) {
     std::string text;
     for (const Name& name : names) {
         text += (text.empty() ? "" : " ") + name.value;
@@ -26,7 +26,7 @@
 
 void RepairAlarms::update(Seconds now, const ReplicationStatus& status, const ReplicaTable& table,
                           RepairCoordinatorHost& host) {
-    const std::string absent = joined(status.absent_members);
+    const std::string absent = join_names(status.absent_members);
     set(now, kUnavailableKey, status.unavailable,
         fmt::format("shards unavailable: count={} total={} absent=\"{}\" action=\"bring them "
                     "back, or remove them\"",
@@ -46,20 +46,21 @@
 }
 
 void RepairAlarms::reset() {
-    told_.clear();
+    reported_alarms_.clear();
 }
 
 void RepairAlarms::set(Seconds now, const std::string& key, std::size_t count,
                        const std::string& text, RepairCoordinatorHost& host) {
     const bool raised = count > 0;
-    const auto told = told_.find(key);
-    const bool known = told != told_.end() && told->second.raised == raised;
+    const auto reported = reported_alarms_.find(key);
+    const bool known = reported != reported_alarms_.end() && reported->second.raised == raised;
     const bool text_current =
-        !raised || (known && (told->second.text == text || now < told->second.at + kTextInterval));
+        !raised || (known && (reported->second.text == text ||
+                              now < reported->second.at + kTextUpdateInterval));
     if (known && text_current) {
         return;
     }
-    told_[key] = {raised, raised ? text : "", now};
+    reported_alarms_[key] = {raised, raised ? text : "", now};
     if (raised) {
         host.raise_alarm(key, text);
     } else {
--- a/src/replication/repair_alarms.hpp
+++ b/src/replication/repair_alarms.hpp
@@ -23,7 +23,7 @@
 
   private:
     // What the planners were told of an alarm last.
-    struct Told {
+    struct ReportedAlarm {
         bool raised = false;
         std::string text;
         Seconds at = 0;
@@ -32,7 +32,7 @@
              RepairCoordinatorHost& host);
 
     // By key; none after a reset.
-    std::map<std::string, Told> told_;
+    std::map<std::string, ReportedAlarm> reported_alarms_;
 };
 
 }  // namespace tideline::replication
--- a/src/replication/repair_allowance.hpp
+++ b/src/replication/repair_allowance.hpp
@@ -8,8 +8,8 @@
 
 namespace tideline::replication {
 
-// A token bucket: holds at most what the rate allows in kRepairAllowanceSpan. It may be overdrawn
-// by one record. One thread; no clock.
+// A token bucket: holds at most what the rate allows in kRepairAllowanceWindowSeconds. It may be
+// overdrawn by one record. One thread; no clock.
 class RepairAllowance {
   public:
     // `rate` is in bytes a second.
@@ -17,7 +17,8 @@
 
     // Adds what the rate allows since the last call.
     void refill(Seconds now) {
-        bytes_ = std::min(kRepairAllowanceSpan * rate_, bytes_ + (now - updated_at_) * rate_);
+        bytes_ =
+            std::min(kRepairAllowanceWindowSeconds * rate_, bytes_ + (now - updated_at_) * rate_);
         updated_at_ = now;
     }
     bool is_spent() const {
--- a/src/replication/repair_coordinator.cpp
+++ b/src/replication/repair_coordinator.cpp
@@ -26,7 +26,7 @@
 void RepairCoordinator::lease_acquired(Seconds now, const ReplicaTable& table) {
     holds_lease_ = true;
     proposing_ = false;
-    next_report_request_ = now;
+    next_report_request_at_ = now;
     propose_at_ = now;
     table_ = table;
     member_health_.lease_acquired(now, table);
@@ -86,7 +86,7 @@
 // Counts the shards, and raises or clears alarms once the members have had time to report.
 void RepairCoordinator::update_status(Seconds now) {
     status_ = replication_status(now, table_, member_health_);
-    if (now >= member_health_.lease_since() + kReportAgeMost) {
+    if (now >= member_health_.lease_acquired_at() + kMaxReplicaReportAge) {
         alarms_.update(now, status_, table_, *host_);
     }
 }
@@ -119,19 +119,19 @@
     if (!holds_lease_) {
         return;
     }
-    if (now >= next_report_request_) {
-        next_report_request_ = now + settings_.report_interval;
+    if (now >= next_report_request_at_) {
+        next_report_request_at_ = now + settings_.report_interval;
         host_->request_reports();
     }
-    if (now < next_plan_) {
+    if (now < next_plan_at_) {
         return;
     }
-    next_plan_ = now + kPlanIntervalFactor * settings_.report_interval;
+    next_plan_at_ = now + kPlanIntervalFactor * settings_.report_interval;
     plan(now);
 }
 
 Seconds RepairCoordinator::due() const {
-    return holds_lease_ ? std::min(next_report_request_, next_plan_)
+    return holds_lease_ ? std::min(next_report_request_at_, next_plan_at_)
                         : std::numeric_limits<double>::infinity();
 }
 
--- a/src/replication/repair_coordinator.hpp
+++ b/src/replication/repair_coordinator.hpp
@@ -82,8 +82,8 @@
     ReplicationStatus status_;
     // No table is proposed before this.
     Seconds propose_at_ = 0;
-    Seconds next_report_request_ = 0;
-    Seconds next_plan_ = 0;
+    Seconds next_report_request_at_ = 0;
+    Seconds next_plan_at_ = 0;
 };
 
 }  // namespace tideline::replication
--- a/src/replication/repair_settings.hpp
+++ b/src/replication/repair_settings.hpp
@@ -20,6 +20,6 @@
 
 // Age limit of a report in seconds: an older one does not tell how its member is now. After the
 // lease was acquired, members have so long to send the first report.
-inline constexpr Seconds kReportAgeMost = 3;
+inline constexpr Seconds kMaxReplicaReportAge = 3;
 
 }  // namespace tideline::replication
--- a/src/replication/replica.cpp
+++ b/src/replication/replica.cpp
@@ -13,14 +13,14 @@
 namespace tideline::replication {
 namespace {
 
-constexpr unsigned kStepBitsOfOneStart = 40;     // steps of one start, by their number of bits
-constexpr unsigned kMessageBitsOfOneStart = 32;  // messages of one start, likewise
+constexpr unsigned kStepBitsOfOneStart = 40;   // steps of one start, by their number of bits
+constexpr unsigned kMessageBitsPerStart = 32;  // messages of one start, likewise
 
 // The number before the first message: another one for each start of each disk, with room for all
 // messages that follow.
 std::uint64_t first_message_number(const Disk& disk, std::uint64_t start_count) {
     const std::array<std::uint64_t, 2> parts{disk.value, start_count};
-    return XXH3_64bits(parts.data(), sizeof parts) << kMessageBitsOfOneStart;
+    return XXH3_64bits(parts.data(), sizeof parts) << kMessageBitsPerStart;
 }
 
 }  // namespace
@@ -67,33 +67,34 @@
     resend_overdue(now);
     for (auto& [shard_id, shard] : shards_) {
         if (shard.has_primary(self_)) {
-            drive_peers(now, shard_id, shard);
-            drop_lagging_peers(now, shard_id, shard);
+            compare_and_repair_peers(now, shard_id, shard);
+            stop_waiting_for_lagging_peers(now, shard_id, shard);
         }
     }
-    finish_operations(now, operations_.ready(local_writes_));
-    expire(now);
-    wake_at(now + (waits_for_members() ? settings_.resend_interval / 3 : kExpiryInterval));
+    finish_operations(now, operations_.ready_operations(local_writes_));
+    drop_expired_records(now);
+    schedule_tick(now +
+                  (is_waiting_for_members() ? settings_.resend_interval / 3 : kExpiryInterval));
 }
 
 // Forgets messages that can't be acknowledged any more, and resends what waits for too long.
 void Replica::resend_overdue(Seconds now) {
     sent_messages_.forget_expired(now);
     const std::vector<OperationNumber> overdue =
-        operations_.overdue(now, settings_.resend_interval);
+        operations_.overdue_operations(now, settings_.resend_interval);
     for (const OperationNumber number : overdue) {
         if (Operation* const operation = operations_.find(number)) {
-            send(now, number, *operation);
+            send_operation(now, number, *operation);
         }
     }
-    tell_claimants_of_wait(overdue);
+    notify_waiting_claimants(overdue);
 }
 
 // A primary that waits for another replica is not silent: without a reply its claimants would
 // report it, and the repair coordinator would take the one complete replica for unreachable. One
 // reply to each claimant is enough. Not while its own disk is what it waits for: a disk that hangs
 // has to be noticed.
-void Replica::tell_claimants_of_wait(const std::vector<OperationNumber>& overdue) {
+void Replica::notify_waiting_claimants(const std::vector<OperationNumber>& overdue) {
     std::map<Name, RequestNumber> newest;
     const auto add = [&](const Name& name, RequestNumber number) {
         RequestNumber& known = newest[name];
@@ -109,8 +110,8 @@
             add(operation->claimant->name, operation->claimant->number);
         }
         const Shard& shard = shards_.at(operation->shard_id);
-        const auto queue = shard.queued.find(operation->key);
-        if (queue == shard.queued.end()) {
+        const auto queue = shard.queued_requests.find(operation->key);
+        if (queue == shard.queued_requests.end()) {
             continue;
         }
         for (const ClaimantRequest& request : queue->second) {
@@ -122,13 +123,13 @@
     }
 }
 
-bool Replica::waits_for_members() const {
+bool Replica::is_waiting_for_members() const {
     if (!operations_.all().empty()) {
         return true;
     }
     for (const auto& [shard_id, shard] : shards_) {
         for (const auto& [name, peer] : shard.peers) {
-            if (!peer.caught_up || peer.comparison.value > 0) {
+            if (!peer.caught_up || peer.pending_comparison.value > 0) {
                 return true;
             }
         }
--- a/src/replication/replica.hpp
+++ b/src/replication/replica.hpp
@@ -114,9 +114,9 @@
 
   private:
     // replica_table.cpp: what a new table changes.
-    void drop_unassigned(bool own_disk);
-    void clear(ShardId shard_id, Shard& shard);
-    void assign(Seconds now, ShardId shard_id, const ReplicaSet& replica_set);
+    void drop_unassigned_shards(bool own_disk);
+    void clear_shard(ShardId shard_id, Shard& shard);
+    void assign_shard(Seconds now, ShardId shard_id, const ReplicaSet& replica_set);
     void become_primary(Seconds now, ShardId shard_id, Shard& shard, bool anew);
     void redirect_operations(Seconds now, ShardId shard_id, Shard& shard);
     void abort_operations(ShardId shard_id, Shard& shard);
@@ -125,29 +125,30 @@
 
     // replica_primary.cpp: requests of claimants.
     void handle_request(Seconds now, ClaimantRequest request);
-    void serve(Seconds now, ShardId shard_id, Shard& shard, const ClaimantRequest& request);
-    void serve_queued(Seconds now, ShardId shard_id, const Key& key);
+    void serve_request(Seconds now, ShardId shard_id, Shard& shard, const ClaimantRequest& request);
+    void serve_queued_requests(Seconds now, ShardId shard_id, const Key& key);
 
     // replica_operations.cpp: writes, and operations that wait for acknowledgements.
-    void put(ShardId shard_id, Shard& shard, const Record& record);
+    void store_record(ShardId shard_id, Shard& shard, const Record& record);
     void write(Seconds now, ShardId shard_id, Shard& shard, Record record,
                std::optional<ReplyTarget> claimant, Reply reply);
-    void confirm(Seconds now, ShardId shard_id, Shard& shard, const ClaimantRequest& request,
-                 Reply reply);
+    void confirm_record(Seconds now, ShardId shard_id, Shard& shard, const ClaimantRequest& request,
+                        Reply reply);
     void begin_operation(Seconds now, Shard& shard, Operation operation);
-    void send(Seconds now, OperationNumber number, Operation& operation);
-    void tell_delay(const Operation& operation, const Name& to, MessageNumber number,
-                    Seconds delay);
+    void send_operation(Seconds now, OperationNumber number, Operation& operation);
+    void send_measured_delay(const Operation& operation, const Name& to, MessageNumber number,
+                             Seconds delay);
     void finish_operation(Seconds now, OperationNumber number);
     void finish_operations(Seconds now, const std::vector<OperationNumber>& numbers);
 
     // replica_catch_up.cpp: comparison with the other members of a shard, and repair.
-    void compare(Seconds now, ShardId shard_id, Shard& shard, const Name& name);
-    bool overwrite_newer(Seconds now, ShardId shard_id, Shard& shard,
-                         const std::vector<KeyVersion>& key_versions, std::vector<Key>& keys);
-    void catch_up(Seconds now, ShardId shard_id, Shard& shard, const Name& name);
-    void drive_peers(Seconds now, ShardId shard_id, Shard& shard);
-    void drop_lagging_peers(Seconds now, ShardId shard_id, Shard& shard);
+    void start_comparison(Seconds now, ShardId shard_id, Shard& shard, const Name& name);
+    bool overwrite_newer_versions(Seconds now, ShardId shard_id, Shard& shard,
+                                  const std::vector<KeyVersion>& key_versions,
+                                  std::vector<Key>& keys);
+    void send_repairs(Seconds now, ShardId shard_id, Shard& shard, const Name& name);
+    void compare_and_repair_peers(Seconds now, ShardId shard_id, Shard& shard);
+    void stop_waiting_for_lagging_peers(Seconds now, ShardId shard_id, Shard& shard);
 
     // replica_backup.cpp: messages of a primary.
     Shard* shard_of_primary(const Name& from, ShardId shard_id, TableVersion since,
@@ -156,12 +157,12 @@
     // replica_expiry.cpp
     void drop_records_if(ShardId shard_id, Shard& shard,
                          const std::function<bool(const Record&)>& is_dropped);
-    void expire(Seconds now);
+    void drop_expired_records(Seconds now);
 
     void resend_overdue(Seconds now);
-    void tell_claimants_of_wait(const std::vector<OperationNumber>& overdue);
-    bool waits_for_members() const;
-    void wake_at(Seconds when) {
+    void notify_waiting_claimants(const std::vector<OperationNumber>& overdue);
+    bool is_waiting_for_members() const;
+    void schedule_tick(Seconds when) {
         due_ = std::min(due_, when);
     }
 
--- a/src/replication/replica_backup.cpp
+++ b/src/replication/replica_backup.cpp
@@ -18,7 +18,7 @@
 Record received_record(const Record& received, const Record* held) {
     Record record = received;
     for (AttemptRecord& attempt : record.attempts) {
-        attempt.sent_at -= kMessageDelayMost;
+        attempt.sent_at -= kMaxMessageDelay;
     }
     if (!held) {
         return record;
@@ -73,8 +73,8 @@
         const auto it = shard->records.find(record->key);
         const Record* const held = it == shard->records.end() ? nullptr : &it->second;
         if (!held || held->version < record->version) {
-            put(shard_id, *shard, received_record(*record, held));
-            shard->received[record->key] = received_from(from, number, *record);
+            store_record(shard_id, *shard, received_record(*record, held));
+            shard->received_records[record->key] = received_from(from, number, *record);
         }
     }
     local_writes_.acknowledge_when_stored(*host_, from, number);
@@ -87,9 +87,9 @@
     if (shard == shards_.end()) {
         return;
     }
-    const auto found = shard->second.received.find(key);
+    const auto found = shard->second.received_records.find(key);
     const auto record = shard->second.records.find(key);
-    if (found == shard->second.received.end() || record == shard->second.records.end() ||
+    if (found == shard->second.received_records.end() || record == shard->second.records.end() ||
         found->second.from != from || found->second.number != number ||
         found->second.version != record->second.version || delay < 0) {
         return;
@@ -98,7 +98,7 @@
     for (std::size_t i = 0; i < attempts.size() && i < found->second.sent_at.size(); ++i) {
         attempts[i].sent_at = std::max(attempts[i].sent_at, found->second.sent_at[i] - delay);
     }
-    shard->second.received.erase(found);
+    shard->second.received_records.erase(found);
 }
 
 void Replica::receive_digests(Seconds now, const Name& from, ShardId shard_id, TableVersion since,
@@ -107,14 +107,14 @@
     if (!shard) {
         return;
     }
-    ShardDifferences found = differences(now, shard->records, theirs);
+    ShardDifferences found = find_differences(now, shard->records, theirs);
     local_writes_.send_differences_when_stored(*host_, from, number, std::move(found.ranges),
                                                std::move(found.key_versions));
 }
 
 void Replica::on_stored(Seconds now, WriteNumber up_to) {
     local_writes_.on_stored(*host_, up_to);
-    finish_operations(now, operations_.ready(local_writes_));
+    finish_operations(now, operations_.ready_operations(local_writes_));
 }
 
 void Replica::mark_corrupt(Seconds, ShardId shard_id) {
--- a/src/replication/replica_catch_up.cpp
+++ b/src/replication/replica_catch_up.cpp
@@ -9,12 +9,12 @@
 namespace tideline::replication {
 
 // Compares when it is time, and goes on sending to the members that catch up.
-void Replica::drive_peers(Seconds now, ShardId shard_id, Shard& shard) {
-    if (shard.open && now >= shard.next_comparison) {
-        shard.next_comparison = now + settings_.comparison_interval;
+void Replica::compare_and_repair_peers(Seconds now, ShardId shard_id, Shard& shard) {
+    if (shard.open && now >= shard.next_comparison_at) {
+        shard.next_comparison_at = now + settings_.comparison_interval;
         for (auto& [name, peer] : shard.peers) {
-            if (peer.caught_up && peer.comparison.value == 0) {
-                compare(now, shard_id, shard, name);
+            if (peer.caught_up && peer.pending_comparison.value == 0) {
+                start_comparison(now, shard_id, shard, name);
             }
         }
     }
@@ -25,11 +25,11 @@
     }
     for (const Name& name : names) {
         Peer& peer = shard.peers[name];
-        if (peer.comparison.value > 0 &&
+        if (peer.pending_comparison.value > 0 &&
             now >= peer.comparison_sent_at + settings_.resend_interval) {
-            compare(now, shard_id, shard, name);
-        } else if (!peer.caught_up && peer.comparison.value == 0) {
-            catch_up(now, shard_id, shard, name);
+            start_comparison(now, shard_id, shard, name);
+        } else if (!peer.caught_up && peer.pending_comparison.value == 0) {
+            send_repairs(now, shard_id, shard, name);
         }
     }
 }
@@ -37,7 +37,7 @@
 // A member that catches up and stops acknowledging would hold up all writes. It is no replica yet:
 // after the lag limit the operation does not wait for it any more, and it has to catch up on the
 // key.
-void Replica::drop_lagging_peers(Seconds now, ShardId shard_id, Shard& shard) {
+void Replica::stop_waiting_for_lagging_peers(Seconds now, ShardId shard_id, Shard& shard) {
     for (auto& [number, operation] : operations_.all()) {
         if (operation.shard_id != shard_id || operation.is_repair) {
             continue;
@@ -56,20 +56,20 @@
 }
 
 // Sends the digests of the shard, in place of a comparison that was not answered.
-void Replica::compare(Seconds now, ShardId shard_id, Shard& shard, const Name& name) {
+void Replica::start_comparison(Seconds now, ShardId shard_id, Shard& shard, const Name& name) {
     Peer& peer = shard.peers[name];
-    peer.comparison = sent_messages_.add({0, name, now, true, shard_id});
+    peer.pending_comparison = sent_messages_.add({0, name, now, true, shard_id});
     peer.comparison_sent_at = now;
-    host_->send_digests(name, shard_id, shard.replica_set.since_table, peer.comparison,
+    host_->send_digests(name, shard_id, shard.replica_set.since_table, peer.pending_comparison,
                         digests_of(shard.records));
-    wake_at(now + settings_.resend_interval);
+    schedule_tick(now + settings_.resend_interval);
 }
 
 void Replica::receive_differences(Seconds now, const Name& from, MessageNumber number,
                                   const std::vector<std::size_t>& ranges,
                                   const std::vector<KeyVersion>& key_versions) {
     const SentMessage* const message = sent_messages_.find(from, number);
-    if (!message || !message->comparison) {
+    if (!message || !message->is_comparison) {
         return;
     }
     const ShardId shard_id = message->shard_id;
@@ -80,25 +80,26 @@
     }
     Shard& shard = it->second;
     const auto peer = shard.peers.find(from);
-    if (peer == shard.peers.end() || peer->second.comparison != number) {
+    if (peer == shard.peers.end() || peer->second.pending_comparison != number) {
         return;
     }
-    peer->second.comparison = {};
+    peer->second.pending_comparison = {};
     std::vector<Key> keys = keys_to_send(shard.records, ranges, key_versions);
-    const bool again = overwrite_newer(now, shard_id, shard, key_versions, keys);
+    const bool again = overwrite_newer_versions(now, shard_id, shard, key_versions, keys);
     std::deque<Key>& to_send = shard.peers.at(from).to_send;
     to_send.insert(to_send.end(), keys.begin(), keys.end());
     if (again) {
-        return compare(now, shard_id, shard, from);
+        return start_comparison(now, shard_id, shard, from);
     }
-    catch_up(now, shard_id, shard, from);
+    send_repairs(now, shard_id, shard, from);
 }
 
 // A newer version elsewhere is a write of an earlier primary that was never acknowledged. It would
 // come back with a later primary, so this primary's version is written over it; the keys are added
 // to `keys`. Returns whether a write of such a key is under way: compare again.
-bool Replica::overwrite_newer(Seconds now, ShardId shard_id, Shard& shard,
-                              const std::vector<KeyVersion>& key_versions, std::vector<Key>& keys) {
+bool Replica::overwrite_newer_versions(Seconds now, ShardId shard_id, Shard& shard,
+                                       const std::vector<KeyVersion>& key_versions,
+                                       std::vector<Key>& keys) {
     bool again = false;
     for (const KeyVersion& theirs : key_versions) {
         const auto own = shard.records.find(theirs.key);
@@ -106,7 +107,7 @@
         if (absent ? theirs.expires_soon : theirs.version <= own->second.version) {
             continue;
         }
-        if (shard.writing.contains(theirs.key)) {
+        if (shard.active_operations.contains(theirs.key)) {
             again = true;
             continue;
         }
@@ -123,12 +124,12 @@
 
 // Sends the member what it lacks, as far as the window allows; to one that is no replica yet also
 // as far as the allowance does. It has caught up once it has acknowledged all.
-void Replica::catch_up(Seconds now, ShardId shard_id, Shard& shard, const Name& name) {
+void Replica::send_repairs(Seconds now, ShardId shard_id, Shard& shard, const Name& name) {
     Peer& peer = shard.peers.at(name);
     const bool paced = !shard.replica_set.has_replica(name);
     while (!peer.to_send.empty() && peer.repairs.size() < settings_.repair_window) {
         if (paced && repair_allowance_.is_spent()) {
-            wake_at(now + settings_.resend_interval / 10);
+            schedule_tick(now + settings_.resend_interval / 10);
             return;
         }
         const Key key = peer.to_send.front();
@@ -148,7 +149,7 @@
         peer.repairs.insert(operations_.next_number());
         begin_operation(now, shard, std::move(operation));
     }
-    if (!peer.to_send.empty() || !peer.repairs.empty() || peer.comparison.value > 0) {
+    if (!peer.to_send.empty() || !peer.repairs.empty() || peer.pending_comparison.value > 0) {
         return;
     }
     peer.caught_up = true;
--- a/src/replication/replica_expiry.cpp
+++ b/src/replication/replica_expiry.cpp
@@ -13,7 +13,7 @@
             return false;
         }
         dropped.push_back(each.first);
-        shard.received.erase(each.first);
+        shard.received_records.erase(each.first);
         return true;
     });
     if (dropped.empty()) {
@@ -23,7 +23,7 @@
 }
 
 // Not while an operation is under way on the key: it would have no record to send.
-void Replica::expire(Seconds now) {
+void Replica::drop_expired_records(Seconds now) {
     if (now < expiry_checked_at_ + kExpiryInterval) {
         return;
     }
@@ -31,7 +31,7 @@
     for (auto& [shard_id, shard] : shards_) {
         const Shard& checked = shard;
         drop_records_if(shard_id, shard, [&](const Record& record) {
-            return now >= record.expires_at && !checked.writing.contains(record.key);
+            return now >= record.expires_at && !checked.active_operations.contains(record.key);
         });
     }
 }
--- a/src/replication/replica_metadata.hpp
+++ b/src/replication/replica_metadata.hpp
@@ -13,11 +13,11 @@
 
 namespace tideline::replication {
 
-inline constexpr const char* kReplicaFile = "held.db";
+inline constexpr const char* kReplicaFileName = "held.db";
 
 // Renames the damaged database, and removes the files beside it.
-inline void put_replica_file_aside(const std::string& folder) {
-    const std::string path = folder + "/" + kReplicaFile;
+inline void move_aside_replica_file(const std::string& folder) {
+    const std::string path = folder + "/" + kReplicaFileName;
     int number = 1;
     while (std::filesystem::exists(fmt::format("{}.damaged-{}", path, number))) {
         ++number;
--- a/src/replication/replica_operations.cpp
+++ b/src/replication/replica_operations.cpp
@@ -7,7 +7,7 @@
 
 namespace tideline::replication {
 
-void Replica::put(ShardId shard_id, Shard& shard, const Record& record) {
+void Replica::store_record(ShardId shard_id, Shard& shard, const Record& record) {
     local_writes_.store(*host_, shard_id, record);
     shard.records.insert_or_assign(record.key, record);
 }
@@ -18,7 +18,7 @@
     record.version = {shard.replica_set.since_table, ++last_step_};
     record.expires_at =
         now + (record.bytes_only ? settings_.bytes_time_to_live : settings_.time_to_live);
-    put(shard_id, shard, record);
+    store_record(shard_id, shard, record);
     Operation operation;
     operation.shard_id = shard_id;
     operation.key = record.key;
@@ -30,8 +30,8 @@
 
 // Reads, too, are confirmed by the replicas: a primary that was deposed, and does not know it yet,
 // would answer with an older state.
-void Replica::confirm(Seconds now, ShardId shard_id, Shard& shard, const ClaimantRequest& request,
-                      Reply reply) {
+void Replica::confirm_record(Seconds now, ShardId shard_id, Shard& shard,
+                             const ClaimantRequest& request, Reply reply) {
     Operation operation;
     operation.shard_id = shard_id;
     operation.key = request.key;
@@ -44,8 +44,8 @@
     const OperationNumber number = operations_.next_number();
     if (!operation.is_repair) {
         // With the version of the table that this is based on.
-        operation.local_write = local_writes_.last();
-        shard.writing[operation.key] = number;
+        operation.local_write = local_writes_.last_write();
+        shard.active_operations[operation.key] = number;
         // A member that has not caught up is sent the key after the rest.
         for (auto& [name, peer] : shard.peers) {
             if (peer.writes_wait || peer.caught_up) {
@@ -56,14 +56,14 @@
         }
     }
     Operation& begun = operations_.add(std::move(operation));
-    send(now, number, begun);
+    send_operation(now, number, begun);
     if (PendingOperations::is_ready(begun, local_writes_)) {
         finish_operation(now, number);
     }
 }
 
 // Sends the record to all members that have not acknowledged it.
-void Replica::send(Seconds now, OperationNumber number, Operation& operation) {
+void Replica::send_operation(Seconds now, OperationNumber number, Operation& operation) {
     const Shard& shard = shards_.at(operation.shard_id);
     const auto record = shard.records.find(operation.key);
     operation.sent_at = now;
@@ -74,7 +74,7 @@
                            record == shard.records.end() ? nullptr : &record->second);
     }
     if (!operation.awaited.empty()) {
-        wake_at(now + settings_.resend_interval);
+        schedule_tick(now + settings_.resend_interval);
     }
 }
 
@@ -90,18 +90,18 @@
     if (operation.is_repair) {
         for (auto& [name, peer] : shard.peers) {
             if (peer.repairs.erase(number) > 0) {
-                return catch_up(now, operation.shard_id, shard, name);
+                return send_repairs(now, operation.shard_id, shard, name);
             }
         }
         return;
     }
-    shard.writing.erase(operation.key);
+    shard.active_operations.erase(operation.key);
     if (operation.claimant) {
         const auto record = shard.records.find(operation.key);
         host_->reply(operation.claimant->name, operation.claimant->number, operation.reply,
                      table_.version, record == shard.records.end() ? nullptr : &record->second);
     }
-    serve_queued(now, operation.shard_id, operation.key);
+    serve_queued_requests(now, operation.shard_id, operation.key);
 }
 
 void Replica::finish_operations(Seconds now, const std::vector<OperationNumber>& numbers) {
@@ -112,24 +112,24 @@
 
 void Replica::on_acknowledged(Seconds now, const Name& from, MessageNumber number) {
     const SentMessage* const found = sent_messages_.find(from, number);
-    if (!found || found->comparison) {
+    if (!found || found->is_comparison) {
         return;
     }
     const SentMessage message = *found;
     sent_messages_.erase(number);
     Operation* const operation = operations_.find(message.operation);
-    if (!operation || now > message.sent_at + kMessageDelayMost) {
+    if (!operation || now > message.sent_at + kMaxMessageDelay) {
         return;
     }
-    tell_delay(*operation, from, number, now - message.sent_at);
+    send_measured_delay(*operation, from, number, now - message.sent_at);
     operation->awaited.erase(from);
     finish_operation(now, message.operation);
 }
 
 // The member counts the ages of attempts from the arrival of the message. Once it knows how long
 // that took at most, it need not assume the longest delay. Nothing waits for this.
-void Replica::tell_delay(const Operation& operation, const Name& to, MessageNumber number,
-                         Seconds delay) {
+void Replica::send_measured_delay(const Operation& operation, const Name& to, MessageNumber number,
+                                  Seconds delay) {
     if (!operation.is_write && !operation.is_repair) {
         return;
     }
--- a/src/replication/replica_primary.cpp
+++ b/src/replication/replica_primary.cpp
@@ -8,7 +8,8 @@
 namespace tideline::replication {
 namespace {
 
-constexpr std::size_t kQueuedMost = 256;  // requests that wait for one key; more are sent back
+constexpr std::size_t kMaxQueuedRequests =
+    256;  // requests that wait for one key; more are sent back
 
 ClaimantRequest request_of(ClaimantRequest::Kind kind, const Name& from, RequestNumber number,
                            const Key& key) {
@@ -70,18 +71,19 @@
     if (!shard.open) {
         return reply_with(Reply::try_again);
     }
-    if (!shard.writing.contains(request.key)) {
-        return serve(now, shard_id, shard, request);
+    if (!shard.active_operations.contains(request.key)) {
+        return serve_request(now, shard_id, shard, request);
     }
-    auto& queue = shard.queued[request.key];
-    if (queue.size() >= kQueuedMost) {
+    auto& queue = shard.queued_requests[request.key];
+    if (queue.size() >= kMaxQueuedRequests) {
         return reply_with(Reply::try_again);
     }
     queue.push_back(std::move(request));
 }
 
 // No operation is under way on the request's key.
-void Replica::serve(Seconds now, ShardId shard_id, Shard& shard, const ClaimantRequest& request) {
+void Replica::serve_request(Seconds now, ShardId shard_id, Shard& shard,
+                            const ClaimantRequest& request) {
     const auto held = shard.records.find(request.key);
     ShardCondition condition;
     condition.now = now;
@@ -94,7 +96,7 @@
             return host_->reply(request.from, request.number, decision.reply, table_.version,
                                 &decision.record);
         case RequestDecision::Action::confirm:
-            return confirm(now, shard_id, shard, request, decision.reply);
+            return confirm_record(now, shard_id, shard, request, decision.reply);
         case RequestDecision::Action::write:
             return write(now, shard_id, shard, std::move(decision.record),
                          ReplyTarget{request.from, request.number}, decision.reply);
@@ -102,23 +104,23 @@
 }
 
 // Serves the requests that wait for the key, until one of them begins an operation.
-void Replica::serve_queued(Seconds now, ShardId shard_id, const Key& key) {
+void Replica::serve_queued_requests(Seconds now, ShardId shard_id, const Key& key) {
     while (true) {
         const auto shard = shards_.find(shard_id);
-        if (shard == shards_.end() || shard->second.writing.contains(key)) {
+        if (shard == shards_.end() || shard->second.active_operations.contains(key)) {
             return;
         }
-        const auto queue = shard->second.queued.find(key);
-        if (queue == shard->second.queued.end()) {
+        const auto queue = shard->second.queued_requests.find(key);
+        if (queue == shard->second.queued_requests.end()) {
             return;
         }
         const ClaimantRequest next = queue->second.front();
         queue->second.pop_front();
         if (queue->second.empty()) {
-            shard->second.queued.erase(queue);
+            shard->second.queued_requests.erase(queue);
         }
         if (shard->second.open) {
-            serve(now, shard_id, shard->second, next);
+            serve_request(now, shard_id, shard->second, next);
         } else {
             host_->reply(next.from, next.number, Reply::try_again, table_.version, nullptr);
         }
--- a/src/replication/replica_set_planner.cpp
+++ b/src/replication/replica_set_planner.cpp
@@ -41,8 +41,8 @@
 ReplicaSetPlanner::Candidates ReplicaSetPlanner::find_candidates() const {
     Candidates candidates;
     for (const auto& [name, member] : member_health_.members()) {
-        if (member_health_.is_counted_on(now_, name)) {
-            candidates.counted_on[name] = member.place;
+        if (member_health_.is_placement_candidate(now_, name)) {
+            candidates.eligible[name] = member.place;
         }
         if (is_healthy(name)) {
             candidates.healthy[name] = member.place;
@@ -70,7 +70,7 @@
     }
     const bool enough = available.size() >= settings_.min_replicas;
     const std::vector<Name> ideal =
-        placed(shard_id, enough ? candidates.counted_on : candidates.healthy, settings_.replicas);
+        placed(shard_id, enough ? candidates.eligible : candidates.healthy, settings_.replicas);
     if (kept.empty()) {
         replace_lost_replicas(replica_set, ideal, next.version);
     } else {
@@ -240,8 +240,8 @@
     const bool all_reported = std::all_of(members.begin(), members.end(), [](const auto& each) {
         return !each.second.present || each.second.report;
     });
-    const Seconds wait = all_reported ? kReportAgeMost : 2 * kReportAgeMost;
-    if (places.size() < settings_.replicas || now_ < member_health_.lease_since() + wait) {
+    const Seconds wait = all_reported ? kMaxReplicaReportAge : 2 * kMaxReplicaReportAge;
+    if (places.size() < settings_.replicas || now_ < member_health_.lease_acquired_at() + wait) {
         return;
     }
     table.shards.resize(settings_.shards);
--- a/src/replication/replica_set_planner.hpp
+++ b/src/replication/replica_set_planner.hpp
@@ -31,8 +31,8 @@
   private:
     // Members that may hold replicas, with their places.
     struct Candidates {
-        std::map<Name, Place> counted_on;  // present, or absent for less than the limit
-        std::map<Name, Place> healthy;     // present, with a recent report
+        std::map<Name, Place> eligible;  // present, or absent for less than the limit
+        std::map<Name, Place> healthy;   // present, with a recent report
     };
     // A shard that a member of its ideal replica set does not hold.
     struct MissingReplica {
--- a/src/replication/replica_shard.hpp
+++ b/src/replication/replica_shard.hpp
@@ -20,7 +20,7 @@
     // A replica, or reported as caught up: a write is not acknowledged without it.
     bool writes_wait = false;
     // Message of a comparison under way; 0: none.
-    MessageNumber comparison;
+    MessageNumber pending_comparison;
     // When the comparison was sent.
     Seconds comparison_sent_at = 0;
     // Keys that it lacks, in the order in which they are sent.
@@ -45,7 +45,7 @@
     // A row was found altered on the disk: nothing is served or acknowledged until it is replaced.
     bool corrupt = false;
     // By key; each is of a record in `records`.
-    std::map<Key, ReceivedRecord> received;
+    std::map<Key, ReceivedRecord> received_records;
     // Read from the disk, and not assigned by a table since.
     bool restored = false;
     // A key that is absent may have been lost with all replicas until then.
@@ -54,13 +54,13 @@
     // The rest is used as the primary only.
     // All replicas have caught up under this replica set: requests are served.
     bool open = false;
-    Seconds next_comparison = 0;
+    Seconds next_comparison_at = 0;
     // All other members of the replica set, also those that catch up.
     std::map<Name, Peer> peers;
     // The operation under way on a key: at most one.
-    std::map<Key, OperationNumber> writing;
+    std::map<Key, OperationNumber> active_operations;
     // Requests that wait for the operation on their key; never empty.
-    std::map<Key, std::deque<ClaimantRequest>> queued;
+    std::map<Key, std::deque<ClaimantRequest>> queued_requests;
 
     bool has_primary(const Name& name) const {
         return !corrupt && !replica_set.replicas.empty() && replica_set.primary() == name;
--- a/src/replication/replica_status.cpp
+++ b/src/replication/replica_status.cpp
@@ -37,12 +37,13 @@
             report.records_to_send += peer.to_send.size() + peer.repairs.size();
         }
     }
-    std::set<std::pair<ShardId, Name>> lagging = operations_.lagging(now, settings_.lag_limit);
+    std::set<std::pair<ShardId, Name>> lagging =
+        operations_.lagging_members(now, settings_.lag_limit);
     for (const auto& [shard_id, shard] : shards_) {
         if (shard.has_primary(self_) && !shard.open) {
             for (const auto& [name, peer] : shard.peers) {
-                if (!peer.caught_up && peer.comparison.value > 0 &&
-                    shard.next_comparison - settings_.comparison_interval + settings_.lag_limit <
+                if (!peer.caught_up && peer.pending_comparison.value > 0 &&
+                    shard.next_comparison_at - settings_.comparison_interval + settings_.lag_limit <
                         now) {
                     lagging.emplace(shard_id, name);
                 }
@@ -103,11 +104,11 @@
             }
         }
         for (const auto& [name, peer] : shard.peers) {
-            text +=
-                fmt::format("y{}{}{}.{}.{}", name.value, peer.caught_up, peer.comparison.value > 0,
-                            peer.to_send.size(), peer.repairs.size());
+            text += fmt::format("y{}{}{}.{}.{}", name.value, peer.caught_up,
+                                peer.pending_comparison.value > 0, peer.to_send.size(),
+                                peer.repairs.size());
         }
-        for (const auto& [key, all] : shard.queued) {
+        for (const auto& [key, all] : shard.queued_requests) {
             text += fmt::format("q{}", all.size());
         }
     }
--- a/src/replication/replica_store.cpp
+++ b/src/replication/replica_store.cpp
@@ -18,45 +18,45 @@
 
 }  // namespace
 
-ReplicaStore::ReplicaStore(const std::string& folder, const Name& name, std::uint64_t fresh_disk,
+ReplicaStore::ReplicaStore(const std::string& folder, const Name& name, std::uint64_t new_disk_id,
                            const ReplicaStoreSettings& settings)
     : settings_(settings) {
     try {
-        open(folder, name, fresh_disk);
+        open(folder, name, new_disk_id);
     } catch (const storage::DamagedFileError& error) {
         // What is left of a damaged database may not be counted as held: it begins anew, as
         // another disk.
         database_.reset();
         found_ = {};
         checksums_.clear();
-        put_replica_file_aside(folder);
+        move_aside_replica_file(folder);
         load_fault_ =
             fmt::format("replica file moved aside: action=catch_up reason=\"{}\"", error.what());
-        open(folder, name, fresh_disk);
+        open(folder, name, new_disk_id);
     }
-    ready_ = ::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
-    if (ready_ < 0) {
+    ready_descriptor_ = ::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
+    if (ready_descriptor_ < 0) {
         throw std::runtime_error("can't create an event descriptor for the replica store");
     }
-    writer_ = std::thread([this] { work(); });
+    writer_ = std::thread([this] { run_writer(); });
 }
 ReplicaStore::~ReplicaStore() {
     {
-        const std::lock_guard guard(lock_);
-        ends_ = true;
+        const std::lock_guard guard(mutex_);
+        stopping_ = true;
     }
-    wakes_.notify_one();
+    task_added_.notify_one();
     if (writer_.joinable()) {
         writer_.join();
     }
-    if (ready_ >= 0) {
-        ::close(ready_);
+    if (ready_descriptor_ >= 0) {
+        ::close(ready_descriptor_);
     }
 }
 
-void ReplicaStore::open(const std::string& folder, const Name& name, std::uint64_t fresh_disk) {
+void ReplicaStore::open(const std::string& folder, const Name& name, std::uint64_t new_disk_id) {
     database_ =
-        std::make_unique<storage::SqliteDatabase>(folder, kReplicaFile, settings_.journal_mode);
+        std::make_unique<storage::SqliteDatabase>(folder, kReplicaFileName, settings_.journal_mode);
     database_->run("BEGIN EXCLUSIVE");
     if (database_->fresh()) {
         database_->run(
@@ -66,7 +66,7 @@
             "PRIMARY KEY (slot, key)) WITHOUT ROWID");
         database_->run(
             "CREATE TABLE sums (slot INTEGER PRIMARY KEY, digest INTEGER, count INTEGER)");
-        disk_ = Disk{fresh_disk};
+        disk_ = Disk{new_disk_id};
         const ReplicaMetadata metadata(*database_);
         metadata.set("member", name.value);
         metadata.set("disk", std::to_string(disk_.value));
@@ -139,10 +139,10 @@
 
 void ReplicaStore::enqueue(Task task) {
     {
-        const std::lock_guard guard(lock_);
+        const std::lock_guard guard(mutex_);
         tasks_.push_back(std::move(task));
     }
-    wakes_.notify_one();
+    task_added_.notify_one();
 }
 void ReplicaStore::put(WriteNumber number, ShardId shard_id, const Record& record, Seconds now) {
     wire::HeldRecord row;
@@ -164,7 +164,7 @@
 }
 
 void ReplicaStore::number(WriteNumber number, TableVersion version) {
-    Task task{Task::Kind::number, number};
+    Task task{Task::Kind::store_table_version, number};
     task.table_version = version;
     enqueue(std::move(task));
 }
@@ -175,27 +175,27 @@
 
 ReplicaStore::Done ReplicaStore::take_done() {
     std::uint64_t count = 0;
-    while (::read(ready_, &count, sizeof count) > 0) {
+    while (::read(ready_descriptor_, &count, sizeof count) > 0) {
     }
-    const std::lock_guard guard(lock_);
+    const std::lock_guard guard(mutex_);
     Done done = done_;
     done_.corrupt.clear();
     return done;
 }
-void ReplicaStore::wake_owner() const {
+void ReplicaStore::notify_owner() const {
     const std::uint64_t one = 1;
     // The counter can't be full: it is read by whoever waits.
-    [[maybe_unused]] const auto written = ::write(ready_, &one, sizeof one);
+    [[maybe_unused]] const auto written = ::write(ready_descriptor_, &one, sizeof one);
 }
 
 // The writer thread: writes all tasks that came meanwhile in one transaction, until the end or a
 // failure.
-void ReplicaStore::work() {
+void ReplicaStore::run_writer() {
     while (true) {
         std::deque<Task> tasks;
         {
-            std::unique_lock guard(lock_);
-            wakes_.wait(guard, [&] { return ends_ || !tasks_.empty(); });
+            std::unique_lock guard(mutex_);
+            task_added_.wait(guard, [&] { return stopping_ || !tasks_.empty(); });
             if (tasks_.empty()) {
                 return;
             }
@@ -215,7 +215,7 @@
             failed = error.what();
         }
         {
-            const std::lock_guard guard(lock_);
+            const std::lock_guard guard(mutex_);
             if (failed.empty()) {
                 for (const Task& each : tasks) {
                     if (each.kind != Task::Kind::scrub) {
@@ -226,7 +226,7 @@
                 done_.failed = failed;
             }
         }
-        wake_owner();
+        notify_owner();
         if (!failed.empty()) {
             return;
         }
@@ -238,37 +238,37 @@
         write_rows(tasks);
     }
     for (const Task& each : tasks) {
-        if (!is_scrub(each) || reads_back(each.shard_id)) {
+        if (!is_scrub(each) || is_intact_on_disk(each.shard_id)) {
             continue;
         }
-        const std::lock_guard guard(lock_);
+        const std::lock_guard guard(mutex_);
         done_.corrupt.push_back(each.shard_id);
     }
 }
 
 // All tasks in one transaction, with the digests of the shards that they touch.
 void ReplicaStore::write_rows(const std::deque<Task>& tasks) {
-    std::set<ShardId> touched;
+    std::set<ShardId> changed_shards;
     database_->run("BEGIN EXCLUSIVE");
-    write_each(tasks, touched);
-    for (const ShardId shard_id : touched) {
+    write_each(tasks, changed_shards);
+    for (const ShardId shard_id : changed_shards) {
         write_digest(shard_id);
     }
     database_->run("COMMIT");
     ++commits_;
 }
 
-void ReplicaStore::write_each(const std::deque<Task>& tasks, std::set<ShardId>& touched) {
-    Statement puts(*database_,
-                   "INSERT OR REPLACE INTO held (slot, key, bytes, sum) VALUES (?, ?, ?, ?)");
-    Statement drops(*database_, "DELETE FROM held WHERE slot = ? AND key = ?");
+void ReplicaStore::write_each(const std::deque<Task>& tasks, std::set<ShardId>& changed_shards) {
+    Statement insert_statement(
+        *database_, "INSERT OR REPLACE INTO held (slot, key, bytes, sum) VALUES (?, ?, ?, ?)");
+    Statement delete_statement(*database_, "DELETE FROM held WHERE slot = ? AND key = ?");
     for (const Task& each : tasks) {
         switch (each.kind) {
             case Task::Kind::put:
-                put_row(puts, each);
+                put_row(insert_statement, each);
                 break;
             case Task::Kind::drop:
-                drop_rows(drops, each);
+                drop_rows(delete_statement, each);
                 break;
             case Task::Kind::clear:
                 Statement(*database_, "DELETE FROM held WHERE slot = ?")
@@ -276,29 +276,33 @@
                     .step();
                 checksums_.erase(each.shard_id);
                 break;
-            case Task::Kind::number:
+            case Task::Kind::store_table_version:
                 ReplicaMetadata(*database_).set("number", std::to_string(each.table_version.value));
                 continue;
             case Task::Kind::scrub:
                 continue;
         }
-        touched.insert(each.shard_id);
+        changed_shards.insert(each.shard_id);
     }
 }
 
-void ReplicaStore::put_row(Statement& put, const Task& task) {
+void ReplicaStore::put_row(Statement& insert_row, const Task& task) {
     const std::string key = bytes_of(task.key);
     const std::int64_t checksum = sum_of(task.bytes, task.shard_id, key);
-    put.with(1, task.shard_id.value).with(2, key).with(3, task.bytes).with(4, checksum).step();
-    put.again();
+    insert_row.with(1, task.shard_id.value)
+        .with(2, key)
+        .with(3, task.bytes)
+        .with(4, checksum)
+        .step();
+    insert_row.again();
     checksums_[task.shard_id].set(task.key, checksum);
     ++rows_;
 }
 
-void ReplicaStore::drop_rows(Statement& drop, const Task& task) {
+void ReplicaStore::drop_rows(Statement& delete_row, const Task& task) {
     for (const Key& key : task.keys) {
-        drop.with(1, task.shard_id.value).with(2, bytes_of(key)).step();
-        drop.again();
+        delete_row.with(1, task.shard_id.value).with(2, bytes_of(key)).step();
+        delete_row.again();
         checksums_[task.shard_id].drop(key);
     }
 }
@@ -312,7 +316,7 @@
         .step();
 }
 
-bool ReplicaStore::reads_back(ShardId shard_id) {
+bool ReplicaStore::is_intact_on_disk(ShardId shard_id) {
     // Without this the pages in memory would be read, not those on the disk.
     database_->forget_pages();
     const ShardChecksums& expected = checksums_[shard_id];
--- a/src/replication/replica_store.hpp
+++ b/src/replication/replica_store.hpp
@@ -33,10 +33,10 @@
 
 class ReplicaStore {
   public:
-    // Opens the file in the folder, or creates it as `fresh_disk`. A damaged file is moved aside,
+    // Opens the file in the folder, or creates it as `new_disk_id`. A damaged file is moved aside,
     // and a new one created. Throws std::runtime_error where the folder can't be used, or the file
     // is of another member.
-    ReplicaStore(const std::string& folder, const Name& name, std::uint64_t fresh_disk,
+    ReplicaStore(const std::string& folder, const Name& name, std::uint64_t new_disk_id,
                  const ReplicaStoreSettings& settings);
     // Writes all tasks first.
     ~ReplicaStore();
@@ -65,7 +65,7 @@
 
     // A descriptor, readable once take_done has something new; owned by this.
     int ready() const {
-        return ready_;
+        return ready_descriptor_;
     }
     struct Done {
         WriteNumber up_to;             // the disk has this write and all before it
@@ -84,7 +84,7 @@
 
   private:
     struct Task {
-        enum class Kind { put, drop, clear, number, scrub };
+        enum class Kind { put, drop, clear, store_table_version, scrub };
         Kind kind = Kind::put;
         WriteNumber number{};
         ShardId shard_id{};
@@ -94,20 +94,20 @@
         TableVersion table_version{};
     };
     using Statement = storage::SqliteDatabase::Statement;
-    void open(const std::string& folder, const Name& name, std::uint64_t fresh_disk);
+    void open(const std::string& folder, const Name& name, std::uint64_t new_disk_id);
     void read(const Name& name);
     void read_rows();
     void check_digests();
     void enqueue(Task task);
-    void work();
+    void run_writer();
     void write(const std::deque<Task>& tasks);
     void write_rows(const std::deque<Task>& tasks);
-    void write_each(const std::deque<Task>& tasks, std::set<ShardId>& touched);
-    void put_row(Statement& put, const Task& task);
-    void drop_rows(Statement& drop, const Task& task);
+    void write_each(const std::deque<Task>& tasks, std::set<ShardId>& changed_shards);
+    void put_row(Statement& insert_row, const Task& task);
+    void drop_rows(Statement& delete_row, const Task& task);
     void write_digest(ShardId shard_id);
-    bool reads_back(ShardId shard_id);
-    void wake_owner() const;
+    bool is_intact_on_disk(ShardId shard_id);
+    void notify_owner() const;
 
     const ReplicaStoreSettings settings_;
     // Of the constructor, then of the writer thread.
@@ -117,13 +117,13 @@
     StoredState found_;
     // Of the rows on the disk. Of the constructor, then of the writer thread.
     std::map<ShardId, ShardChecksums> checksums_;
-    int ready_ = -1;
-    // Guards `tasks_`, `done_` and `ends_`.
-    std::mutex lock_;
-    std::condition_variable wakes_;
+    int ready_descriptor_ = -1;
+    // Guards `tasks_`, `done_` and `stopping_`.
+    std::mutex mutex_;
+    std::condition_variable task_added_;
     std::deque<Task> tasks_;
     Done done_;
-    bool ends_ = false;
+    bool stopping_ = false;
     std::atomic<std::uint64_t> commits_{0};
     std::atomic<std::uint64_t> rows_{0};
     std::thread writer_;
--- a/src/replication/replica_table.cpp
+++ b/src/replication/replica_table.cpp
@@ -19,19 +19,19 @@
     local_writes_.store_table_version(*host_, newest_table_);
     const auto disk = table.disks.find(self_);
     const bool own_disk = disk != table.disks.end() && disk->second == disk_;
-    drop_unassigned(own_disk);
+    drop_unassigned_shards(own_disk);
     for (std::uint32_t i = 0; own_disk && i < table.shards.size(); ++i) {
         const ReplicaSet& replica_set = table.shards[i];
         if (replica_set.has_replica(self_) || replica_set.is_catching_up(self_)) {
-            assign(now, ShardId{i}, replica_set);
+            assign_shard(now, ShardId{i}, replica_set);
         }
     }
-    wake_at(now + settings_.resend_interval);
+    schedule_tick(now + settings_.resend_interval);
 }
 
 // Drops all shards that the table does not place on this disk. `own_disk`: this disk is the one on
 // which the table counts this member's replicas.
-void Replica::drop_unassigned(bool own_disk) {
+void Replica::drop_unassigned_shards(bool own_disk) {
     const bool beyond_table =
         !shards_.empty() && shards_.rbegin()->first.value >= table_.shards.size();
     if (beyond_table) {
@@ -47,21 +47,21 @@
             ++it;
             continue;
         }
-        clear(it->first, it->second);
+        clear_shard(it->first, it->second);
         it = shards_.erase(it);
     }
 }
 
-void Replica::clear(ShardId shard_id, Shard& shard) {
+void Replica::clear_shard(ShardId shard_id, Shard& shard) {
     abort_operations(shard_id, shard);
     shard.records.clear();
-    shard.received.clear();
+    shard.received_records.clear();
     shard.corrupt = false;
     local_writes_.store_shard_removal(*host_, shard_id);
 }
 
 // Takes on the shard's replica set of a new table.
-void Replica::assign(Seconds now, ShardId shard_id, const ReplicaSet& replica_set) {
+void Replica::assign_shard(Seconds now, ShardId shard_id, const ReplicaSet& replica_set) {
     Shard& shard = shards_[shard_id];
     const ReplicaSet before = std::exchange(shard.replica_set, replica_set);
     // Before it was restarted this primary may have reported a member as caught up, which is then
@@ -74,7 +74,7 @@
     // Whoever catches up, or begins a shard that was lost, holds nothing that can be wrong.
     if (shard.corrupt &&
         (replica_set.is_catching_up(self_) || replica_set.data_lost_in > before.data_lost_in)) {
-        clear(shard_id, shard);
+        clear_shard(shard_id, shard);
     }
     drop_records_if(shard_id, shard, [&](const Record& record) {
         return record.version.table_version < replica_set.data_lost_in;
@@ -100,19 +100,20 @@
 void Replica::become_primary(Seconds now, ShardId shard_id, Shard& shard, bool anew) {
     const ReplicaSet& replica_set = shard.replica_set;
     redirect_operations(now, shard_id, shard);
-    const std::vector<OperationNumber> ready = operations_.ready(local_writes_, shard_id);
+    const std::vector<OperationNumber> ready =
+        operations_.ready_operations(local_writes_, shard_id);
     for (const Name& name : replica_set.replicas) {
         if (name == self_) {
             continue;
         }
         shard.peers[name].writes_wait = true;
-        compare(now, shard_id, shard, name);
+        start_comparison(now, shard_id, shard, name);
     }
     for (const Name& name : replica_set.catching_up) {
         shard.peers[name].writes_wait = anew;
-        compare(now, shard_id, shard, name);
+        start_comparison(now, shard_id, shard, name);
     }
-    shard.next_comparison = now + settings_.comparison_interval;
+    shard.next_comparison_at = now + settings_.comparison_interval;
     shard.open_if_caught_up();
     finish_operations(now, ready);
 }
@@ -141,11 +142,11 @@
                 operation.awaited[name] = now;
             }
         }
-        send(now, number, operation);
+        send_operation(now, number, operation);
         ++it;
     }
     if (too_few) {
-        shard.writing.clear();
+        shard.active_operations.clear();
         reply_to_queued(shard, Reply::try_again);
     }
 }
@@ -162,7 +163,7 @@
         it = operations.erase(it);
     }
     reply_to_queued(shard, Reply::not_primary);
-    shard.writing.clear();
+    shard.active_operations.clear();
     shard.peers.clear();
     shard.open = false;
 }
@@ -175,12 +176,12 @@
 }
 
 void Replica::reply_to_queued(Shard& shard, Reply reply) {
-    for (const auto& [key, requests] : shard.queued) {
+    for (const auto& [key, requests] : shard.queued_requests) {
         for (const ClaimantRequest& request : requests) {
             host_->reply(request.from, request.number, reply, table_.version, nullptr);
         }
     }
-    shard.queued.clear();
+    shard.queued_requests.clear();
 }
 
 }  // namespace tideline::replication
--- a/src/replication/sent_messages.cpp
+++ b/src/replication/sent_messages.cpp
@@ -23,7 +23,7 @@
 
 void SentMessages::forget_expired(Seconds now) {
     std::erase_if(messages_,
-                  [&](const auto& each) { return now > each.second.sent_at + kMessageDelayMost; });
+                  [&](const auto& each) { return now > each.second.sent_at + kMaxMessageDelay; });
 }
 
 }  // namespace tideline::replication
--- a/src/replication/sent_messages.hpp
+++ b/src/replication/sent_messages.hpp
@@ -16,7 +16,7 @@
     Seconds sent_at = 0;
     // Digests of a shard, to be answered with the differences; otherwise a record, to be
     // acknowledged.
-    bool comparison = false;
+    bool is_comparison = false;
     ShardId shard_id;
 };
 
--- a/src/replication/shard_comparison.cpp
+++ b/src/replication/shard_comparison.cpp
@@ -20,7 +20,7 @@
     return digests;
 }
 
-ShardDifferences differences(Seconds now, const Records& records, const Digests& theirs) {
+ShardDifferences find_differences(Seconds now, const Records& records, const Digests& theirs) {
     ShardDifferences all;
     const Digests own = digests_of(records);
     for (std::size_t i = 0; i < own.size(); ++i) {
@@ -30,7 +30,7 @@
     }
     for (const auto& [key, record] : records) {
         if (own[range_of(key)] != theirs[range_of(key)]) {
-            const bool expires_soon = record.expires_at < now + kExpirySkewMost;
+            const bool expires_soon = record.expires_at < now + kMaxExpirySkew;
             all.key_versions.push_back({key, record.version, expires_soon});
         }
     }
--- a/src/replication/shard_comparison.hpp
+++ b/src/replication/shard_comparison.hpp
@@ -21,7 +21,7 @@
 // Digests of keys and versions, one for each range of keys.
 Digests digests_of(const Records& records);
 // The backup's side. `theirs`: the digests of the primary.
-ShardDifferences differences(Seconds now, const Records& records, const Digests& theirs);
+ShardDifferences find_differences(Seconds now, const Records& records, const Digests& theirs);
 // The primary's side: its keys in `ranges` of which the backup has nothing, or an older version.
 std::vector<Key> keys_to_send(const Records& records, const std::vector<std::size_t>& ranges,
                               const std::vector<KeyVersion>& key_versions);
