--- a/src/replication/claimant_request.cpp
+++ b/src/replication/claimant_request.cpp
@@ -8,7 +8,8 @@
 using Action = RequestDecision::Action;
 
 constexpr std::size_t kMaxRecordedAttempts =
-    32;  // of one key; those known not to have run go first
+    // Attempts in the record of one key. Attempts known not to have run are removed to make room.
+    32;
 
 RequestDecision reply_with(Reply reply, Record record) {
     return {Action::reply, reply, std::move(record)};
@@ -22,7 +23,7 @@
     return {Action::write, reply, std::move(record)};
 }
 
-// Null where the record does not have the request's attempt.
+// Returns null if the record does not contain the request's attempt.
 AttemptRecord* attempt_of(const ClaimantRequest& request, Record& record) {
     for (AttemptRecord& attempt : record.attempts) {
         if (attempt.is_attempt_of(request.attempt.owner, request.attempt.number)) {
@@ -45,7 +46,7 @@
 RequestDecision decide_settle(const ClaimantRequest& request, Record record, Seconds now) {
     const AttemptOutcome outcome = request.attempt.outcome;
     AttemptRecord* const own = attempt_of(request, record);
-    // An answer is final, whatever arrives late.
+    // An answer is final, even if another outcome arrives later.
     if (record.answered) {
         return reply_with(Reply::stored, std::move(record));
     }
@@ -71,9 +72,10 @@
     return write(Reply::stored, std::move(record));
 }
 
-// Adds the claimed attempt to the record, whose other attempts the claimant knows of.
+// Adds the claimed attempt to the record. The claimant knows about the other attempts in it.
 RequestDecision grant_claim(const ClaimantRequest& request, Record record) {
-    // The claimant is bound by the attempts of others. They may still be running, or may yet run.
+    // The attempts of other claimants stay recorded as possibly run: they may still be running, or
+    // may start later.
     for (AttemptRecord& attempt : record.attempts) {
         if (attempt.owner != request.attempt.owner &&
             attempt.outcome == AttemptOutcome::in_flight) {
@@ -92,14 +94,14 @@
     return write(Reply::granted, std::move(record));
 }
 
-// `record` has the content that the request names.
+// Decides a claim. The content digest of `record` is that of the request.
 RequestDecision decide_claim(const ClaimantRequest& request, Record record) {
     if (record.answered) {
         return reply_with(Reply::answered, std::move(record));
     }
     if (const AttemptRecord* const own = attempt_of(request, record); own != nullptr) {
-        // A claim that comes twice, the second time after it was settled, may not look as if its
-        // attempt were running.
+        // A claim that arrives again after its attempt was settled must not make the attempt look
+        // as if it were in flight.
         if (own->outcome != AttemptOutcome::in_flight) {
             return reply_with(Reply::try_again, std::move(record));
         }
--- a/src/replication/claimant_request.hpp
+++ b/src/replication/claimant_request.hpp
@@ -1,4 +1,5 @@
 // A request of a claimant to the primary of its key, and the rules by which the primary decides it.
+// A claimant is a sidecar that asks to send an attempt at a request.
 #pragma once
 
 #include <cstdint>
@@ -16,38 +17,41 @@
     Name from;
     RequestNumber number;
     Key key;
-    // claim, settle: the attempt, with its outcome.
+    // claim, settle: the attempt and its outcome.
     AttemptRecord attempt;
     // claim: digest of the request's content.
     std::uint64_t content = 0;
-    // claim: the version of the record by which the claimant knows of the attempts of others.
+    // claim: version of the record from which the claimant knows about the attempts of other
+    // claimants.
     std::optional<Version> known_version;
-    // settle: the endpoint's answer. store_bytes: the bytes.
+    // settle: the endpoint's answer. store_bytes: the bytes to store.
     std::string bytes;
 };
 
-// What the primary knows beside the record.
+// State of the shard that a decision depends on, besides the record.
 struct ShardCondition {
     Seconds now = 0;
-    // Fewer replicas than the least: one loss more would break what was acknowledged.
+    // There are fewer replicas than the minimum, so the loss of one more could lose acknowledged
+    // writes.
     bool too_few_replicas = false;
-    // All replicas were lost, and records of before the loss may still matter.
+    // All replicas were lost, and records from before the loss could still be alive.
     bool data_lost = false;
 };
 
-// What the primary does with a request.
+// How the primary handles a request.
 struct RequestDecision {
     enum class Action {
-        reply,    // at once, with `record`
-        confirm,  // with the record as it is, once all replicas confirm that this is the primary
-        write,    // stores `record`, and replies once all replicas have it
+        reply,  // replies at once with `record`
+        // Replies with the unchanged record once all replicas have confirmed this primary.
+        confirm,
+        write,  // stores `record` and replies once all replicas have it
     };
     Action action = Action::reply;
     Reply reply = Reply::try_again;
     Record record;
 };
 
-// Decides a request. `held`: the record of its key, or null. A pure function.
+// Decides a request. `held` is the record of its key, or null. This is a pure function.
 RequestDecision decide_request(const ClaimantRequest& request, const Record* held,
                                const ShardCondition& shard);
 
--- a/src/replication/effect_log_client.cpp
+++ b/src/replication/effect_log_client.cpp
@@ -10,9 +10,10 @@
 namespace tideline::replication {
 namespace {
 
-// Seconds: a request that waits is answered so long before its deadline.
+// A waiting request is answered this long before its deadline.
 constexpr Seconds kReplyMargin = 0.02;
-constexpr unsigned kRequestBitsPerIncarnation = 24;  // requests to primaries, by number of bits
+// Bits of a request number that count the requests of one incarnation.
+constexpr unsigned kRequestBitsPerIncarnation = 24;
 
 std::uint64_t first_request_number(const Incarnation& incarnation) {
     return incarnation.value << kRequestBitsPerIncarnation;
@@ -51,7 +52,7 @@
     if (!primary_requests_.apply_table(table)) {
         return;
     }
-    // What waits for a former primary is sent to its successor at once.
+    // Requests that wait for a former primary are resent to its successor at once.
     for (auto& [request, open] : open_requests_) {
         if (open.phase != Phase::routing) {
             open.resend_at = now;
@@ -82,7 +83,8 @@
     send_to_primary(now, open);
 }
 
-// Sends the claim, or reads the record while an attempt of another is waited for.
+// Sends the claim to the primary, or reads the record while the request waits for an attempt of
+// another claimant.
 void EffectLogClient::send_to_primary(Seconds now, OpenRequest& open) {
     const Key& key = open.guarded.key;
     const Name* const primary = primary_requests_.primary_of(key);
@@ -103,7 +105,7 @@
     }
 }
 
-// What was sent for the request is answered for nobody any more.
+// Forgets the messages that were sent for the request: replies to them no longer count.
 void EffectLogClient::forget_sent_requests(OpenRequest& open) {
     for (const RequestNumber number : open.sent_request_numbers) {
         sent_requests_.erase(number);
@@ -111,9 +113,9 @@
     open.sent_request_numbers.clear();
 }
 
-// The attempt could not be replicated in time: it goes out all the same, or the request is
-// rejected, as the settings say. The claim may have been granted all the same, so it is withdrawn
-// with the rejection.
+// Handles a claim that was not granted in time: depending on the settings, the attempt is sent
+// without being replicated, or the request is rejected. A rejection also withdraws the claim,
+// because it may have been granted although no reply arrived.
 void EffectLogClient::fail_claim(Seconds now, OpenRequest& open) {
     forget_sent_requests(open);
     if (!std::exchange(alarm_raised_, true)) {
@@ -130,8 +132,8 @@
     reject_request(now, open);
 }
 
-// The request may have run before its record was lost, so no attempt goes out, whatever the
-// settings allow for replicas that are only slow.
+// Rejects a request whose record may have been lost with all replicas. The request may have run
+// before, so no attempt is sent, even if the settings allow attempts that are not replicated.
 void EffectLogClient::fail_for_lost_data(Seconds now, OpenRequest& open) {
     forget_sent_requests(open);
     if (!std::exchange(lost_data_alarm_raised_, true)) {
@@ -148,8 +150,8 @@
     host_->on_rejected(request, settings_.retry_after);
 }
 
-// A claim that is not wanted any more may be granted yet: without this its attempt would look as if
-// it were in flight.
+// Settles the newest attempt as not run. Its claim may still be granted, and the attempt would then
+// look as if it were in flight.
 void EffectLogClient::withdraw_claim(Seconds now, const OpenRequest& open) {
     AttemptRecord attempt = open.attempt;
     attempt.outcome = AttemptOutcome::not_run;
@@ -208,7 +210,8 @@
     notifications_.tick(now, primary_requests_, *host_);
 }
 
-// Ends a request whose time is up, or asks again when it is time. May erase `open`.
+// Ends the request if its time is up, or resends its message to the primary if that is due. May
+// erase `open`.
 void EffectLogClient::expire_or_resend_request(Seconds now, OpenRequest& open) {
     const Seconds answer_at = open.guarded.deadline - kReplyMargin;
     if (open.phase == Phase::claiming &&
--- a/src/replication/effect_log_client.hpp
+++ b/src/replication/effect_log_client.hpp
@@ -1,7 +1,8 @@
-// A sidecar's side of the effect log. Before an attempt goes out that may not run twice, it is
-// claimed at the primary of its key; its outcome is reported there; a client's repeat gets the
-// stored answer. Where an attempt goes is decided by the routing policy: this only knows of the
-// attempts of others. One thread; no I/O, no clock.
+// A sidecar's client of the effect log, which prevents a request from taking effect twice. Before
+// an attempt is sent that must not run twice, it is claimed at the primary of its key. The outcome
+// of the attempt is reported there, and a repeat by the client gets the stored answer. The routing
+// policy chooses the endpoints; this class only knows the attempts of other sidecars. It is
+// single-threaded and neither does I/O nor reads a clock.
 #pragma once
 
 #include <cstdint>
@@ -21,28 +22,28 @@
 
 namespace tideline::replication {
 
-// A request that may not run twice.
+// A request that must not take effect twice.
 struct GuardedRequest {
     RequestId request;
     Key key;
-    // Digest of its content, beyond the key.
+    // Digest of the request's content; two requests with the same key may differ in it.
     std::uint64_t content = 0;
-    // Endpoints recognize repeats by its fingerprint; otherwise no attempt may follow one that may
-    // have run.
+    // If true, endpoints recognize repeats by the fingerprint of the request. Otherwise no attempt
+    // may follow one that may have run.
     bool idempotent = false;
     Seconds deadline = 0;
 };
 
-// Whether an attempt that ended like this has run.
+// Returns whether an attempt with this outcome has run.
 AttemptOutcome attempt_outcome_of(Outcome outcome);
 
-// Decides for each attempt whether it may go out. Times are in seconds.
+// Decides for each attempt whether it may be sent. Times are in seconds.
 class EffectLogClient {
   public:
-    // `host` outlives this.
+    // `host` has to outlive the client.
     EffectLogClient(EffectLogClientHost& host, const EffectLogClientSettings& settings,
                     const Name& self, const Incarnation& incarnation, Seconds now);
-    // A copy for another simulated world.
+    // Copies a client into another simulated world.
     EffectLogClient(const EffectLogClient& other, EffectLogClientHost& host);
     EffectLogClient(const EffectLogClient&) = default;
     ~EffectLogClient() = default;
@@ -50,78 +51,83 @@
 
     // Ignores a table that is not newer than the known one.
     void apply_table(Seconds now, const ReplicaTable& table);
-    // Presence of a member, from gossip.
+    // Updates the presence of a member, as known from gossip.
     void update_member(Seconds now, const Name& name, const Incarnation& incarnation, bool gone);
-    // The policy has chosen an endpoint. Answered by on_cleared, on_rejected or on_deferred.
+    // The policy has chosen an endpoint for an attempt. The client decides by on_cleared,
+    // on_rejected or on_deferred.
     void before_attempt(Seconds now, const GuardedRequest& guarded, AttemptNumber number,
                         Location location, Cell cell);
-    // An attempt that was cleared has ended.
+    // An attempt that was cleared for sending has ended.
     void attempt_ended(Seconds now, RequestId request, AttemptNumber number, AttemptOutcome outcome,
                        const std::string& answer);
-    // The client has its answer, or has gone.
+    // The request's client has its answer or has disconnected.
     void request_ended(Seconds now, RequestId request);
-    // Sends until all replicas have it.
+    // Sends the bytes to the primary until it confirms that all replicas have stored them, or until
+    // the notification timeout.
     void store_bytes(Seconds now, const Key& key, const std::string& bytes);
-    // Answered by on_record_read.
+    // Reads the record of a key; the result is passed to on_record_read.
     void read(Seconds now, const Key& key);
-    // Times of `record` are on the clock of this member, counted from its arrival. `version`: of
-    // the primary's table.
+    // Times in `record` are on this member's clock, counted from the arrival of the reply.
+    // `version` is the version of the primary's table.
     void on_reply(Seconds now, RequestNumber number, Reply reply, TableVersion version,
                   const Record* record);
-    // To be called at due().
+    // The owner calls this at the time that due() returns.
     void tick(Seconds now);
-    // Infinite while nothing waits.
+    // Time of the next call of tick(); infinite while nothing is pending.
     Seconds due() const;
 
     // Primaries that do not answer, for the report to the repair coordinator.
     std::set<Name> silent_primaries(Seconds now) const;
-    // Attempts whose claim was granted.
+    // Number of attempts whose claim was granted.
     std::uint64_t granted() const {
         return granted_;
     }
-    // Attempts that went out without replicas, as the settings allow.
+    // Number of attempts that were sent without being replicated, as the settings allow.
     std::uint64_t unreplicated() const {
         return unreplicated_;
     }
-    // Requests that were rejected, because they were not replicated in time.
+    // Number of requests that were rejected, because their attempt was not replicated in time or
+    // because all replicas were lost.
     std::uint64_t rejected() const {
         return rejected_;
     }
-    // Requests that were answered with a stored answer.
+    // Number of requests that were answered with a stored answer.
     std::uint64_t deduplicated() const {
         return deduplicated_;
     }
     std::size_t pending_notifications() const {
         return notifications_.count();
     }
-    // Digest of the state, for the model checker: worlds with equal texts behave alike.
+    // Digest of the state for the model checker: worlds with equal texts behave alike.
     std::string state() const;
 
   private:
-    // claiming: an attempt waits for its claim. in_flight: nothing is asked; attempts are out, or
-    // the policy chooses again. polling: an attempt of another is waited for.
+    // claiming: an attempt waits for its claim. routing: no message to a primary is pending;
+    // attempts are in flight, or the policy chooses the next endpoint. polling: the request waits
+    // for the attempt of another claimant, whose record is read repeatedly.
     enum class Phase { claiming, routing, polling };
     struct OpenRequest {
         GuardedRequest guarded;
         Phase phase = Phase::claiming;
-        // The newest attempt, and its number in the policy.
+        // The newest attempt, and the number by which the policy knows it.
         AttemptRecord attempt;
         AttemptNumber policy_attempt_number;
-        // Number of the next attempt in the effect log: never used twice by one request.
+        // Number of the next attempt in the effect log. A request never uses a number twice.
         int next_attempt_number = 0;
-        // Attempts that went out and have not ended.
+        // Attempts that were sent and have not ended.
         std::map<AttemptNumber, AttemptRecord> sent_attempts;
-        // Version of the record by which this knows of the attempts of others.
+        // Version of the record from which this client knows about the attempts of other claimants.
         std::optional<Version> known_version;
-        // Since when the newest attempt is claimed.
+        // When the claim of the newest attempt began.
         Seconds claimed_at = 0;
         Seconds resend_at = 0;
-        // Of the request to a primary that was sent last; 0: none.
+        // Number of the last request to a primary; 0: none.
         RequestNumber last_request_number;
-        // Those in `sent_requests_` that are of this request.
+        // Numbers of the entries in `sent_requests_` that belong to this request.
         std::vector<RequestNumber> sent_request_numbers;
     };
-    // A claim or read that may still be answered: sent again, an earlier sending still counts.
+    // A claim or a read whose reply still counts. After a resend, a reply to an earlier send counts
+    // too.
     struct SentRequest {
         RequestId request;
         Seconds sent_at = 0;
@@ -145,7 +151,8 @@
     Incarnation incarnation_;
     // Requests that have not ended.
     std::map<RequestId, OpenRequest> open_requests_;
-    // Each is of a request in `open_requests_`, of its newest attempt and its present phase.
+    // Each entry belongs to a request in `open_requests_`, to its newest attempt and its present
+    // phase.
     std::map<RequestNumber, SentRequest> sent_requests_;
     PrimaryRequests primary_requests_;
     OwnerLiveness owner_liveness_;
@@ -154,7 +161,7 @@
     std::uint64_t unreplicated_ = 0;
     std::uint64_t rejected_ = 0;
     std::uint64_t deduplicated_ = 0;
-    // Each once, until a claim is granted again.
+    // Each alarm is raised once, until a claim is granted again.
     bool alarm_raised_ = false;
     bool lost_data_alarm_raised_ = false;
 };
--- a/src/replication/effect_log_client_host.hpp
+++ b/src/replication/effect_log_client_host.hpp
@@ -1,4 +1,4 @@
-// Effects of the effect log's client.
+// Interface through which the client of the effect log acts on its environment.
 #pragma once
 
 #include <optional>
@@ -9,11 +9,11 @@
 
 namespace tideline::replication {
 
-// Implemented by whoever runs the client. Calls never call back into the client.
+// Implemented by the owner of the client. The calls never call back into the client.
 class EffectLogClientHost {
   public:
     virtual ~EffectLogClientHost() = default;
-    // Requests to the primary of a key; see Replica.
+    // These calls send requests to the primary of a key; see Replica.
     virtual void send_claim(const Name& primary, RequestNumber number, const Key& key,
                             std::uint64_t content, const AttemptRecord& attempt,
                             std::optional<Version> known_version) = 0;
@@ -22,23 +22,26 @@
     virtual void send_bytes(const Name& primary, RequestNumber number, const Key& key,
                             const std::string& bytes) = 0;
     virtual void send_read(const Name& primary, RequestNumber number, const Key& key) = 0;
-    // Asks the planners for a table that is no older than `least`.
+    // Asks the planners for a table whose version is at least `least`.
     virtual void request_table(TableVersion least) = 0;
-    // Decisions on an attempt that was about to go out:
-    // It may go.
+    // The next three calls decide about an attempt that was passed to before_attempt.
+    //
+    // The attempt may be sent.
     virtual void on_cleared(RequestId request, AttemptNumber number) = 0;
-    // It was not replicated in time and never ran: the request is rejected.
+    // The attempt was not replicated in time, or all replicas were lost. It was not sent, and the
+    // request is rejected.
     virtual void on_rejected(RequestId request, Seconds retry_after) = 0;
-    // It did not go out; the request waits for an attempt of another.
+    // The attempt was not sent: the request waits for the attempt of another claimant.
     virtual void on_deferred(RequestId request) = 0;
-    // Decisions on a request that waits:
-    // It ran before, with this answer.
+    // The next three calls decide about a waiting request.
+    //
+    // The request has run before, with this answer.
     virtual void on_answer_found(RequestId request, const std::string& answer) = 0;
-    // It is to be routed anew, knowing of these attempts.
+    // The request has to be routed again, taking these earlier attempts into account.
     virtual void on_returned(RequestId request, const std::vector<AttemptRecord>& earlier) = 0;
-    // It may have run, and can't be known.
+    // The request may have run, and it can't be determined whether it has.
     virtual void on_effect_unknown(RequestId request) = 0;
-    // The answer to EffectLogClient::read. Null where there is no record.
+    // Result of EffectLogClient::read. `record` is null if there is no record.
     virtual void on_record_read(const Key& key, const Record* record) = 0;
     virtual void on_alarm(const std::string& text) = 0;
 };
--- a/src/replication/effect_log_replies.cpp
+++ b/src/replication/effect_log_replies.cpp
@@ -1,4 +1,4 @@
-// EffectLogClient: what follows from the reply of a primary.
+// EffectLogClient: handles the replies of primaries.
 
 #include <utility>
 #include <vector>
@@ -26,7 +26,7 @@
     OpenRequest& open = found->second;
     primary_requests_.on_reply(open.guarded.key);
     if (reply == Reply::try_again) {
-        return;  // what was sent may still be answered
+        return;  // a later reply to the same message still counts
     }
     const Seconds request_sent_at = sent->second.sent_at;
     sent_requests_.erase(sent);
@@ -39,15 +39,15 @@
     }
 }
 
-// The reply to a claim, before the attempt went out. After a reply that is not named here the claim
-// is sent again soon.
+// Handles the reply to a claim. After a reply without a case of its own the claim is resent when it
+// is due.
 void EffectLogClient::on_claim_reply(Seconds now, OpenRequest& open, Reply reply,
                                      const Record* record, Seconds request_sent_at) {
     const RequestId request = open.guarded.request;
     switch (reply) {
         case Reply::granted:
-            // A sidecar that was suspended meanwhile counts as dead to the others, who may have
-            // sent the same by now.
+            // If this sidecar was suspended in the meantime, the others consider it dead, and may
+            // already have sent the same request.
             if (now >= open.claimed_at + settings_.claim_timeout) {
                 return fail_claim(now, open);
             }
@@ -79,8 +79,8 @@
     }
 }
 
-// Decides a request that is deferred by the record of its key: answers it, keeps it waiting while
-// an attempt of another runs, or gives it back to the policy.
+// Decides a deferred request by the record of its key: answers it, keeps it waiting while an
+// attempt of another claimant is in flight, or returns it to the policy.
 void EffectLogClient::apply_record(Seconds now, OpenRequest& open, const Record* record,
                                    Seconds request_sent_at) {
     const RequestId request = open.guarded.request;
@@ -102,8 +102,8 @@
             running |= attempt.outcome == AttemptOutcome::in_flight &&
                        !owner_liveness_.is_dead(now, attempt.owner);
             earlier.push_back(attempt);
-            // The primary counted from when it answered; that was no earlier than when it was
-            // asked.
+            // The primary counted the age up to its reply, which was sent no earlier than the
+            // request for it.
             earlier.back().sent_at -= now - request_sent_at;
         }
     }
@@ -120,7 +120,7 @@
     if (!earlier.empty()) {
         open.known_version = record->version;
     }
-    open.phase = Phase::routing;  // until the policy has chosen again
+    open.phase = Phase::routing;  // until the policy has chosen an endpoint again
     host_->on_returned(request, earlier);
 }
 
--- a/src/replication/effect_log_settings.hpp
+++ b/src/replication/effect_log_settings.hpp
@@ -8,21 +8,24 @@
 namespace tideline::replication {
 
 struct EffectLogClientSettings {
-    Seconds claim_timeout = 0.5;    // longest wait for the replicas, before an attempt goes out
-    Seconds resend_interval = 0.1;  // interval of resending a request without a reply
-    Seconds poll_interval = 0.1;    // interval of reading while an attempt of another is running
-    Seconds notification_timeout = 60;  // an outcome is sent for so long, unless it is taken
-    // A member that was not heard of for so long after the start is dead.
+    Seconds claim_timeout = 0.5;    // for a claim to be replicated before its attempt is sent
+    Seconds resend_interval = 0.1;  // between two sends of a request without a reply
+    // Interval at which the record is read while an attempt of another claimant is in flight.
+    Seconds poll_interval = 0.1;
+    Seconds notification_timeout = 60;  // after which an undelivered notification is dropped
+    // A member about which gossip has told nothing for this long after the start counts as dead.
     Seconds unknown_member_timeout = 10;
-    // Not replicated in time: true lets an attempt go out all the same, false rejects it.
+    // Whether an attempt is sent although it was not replicated in time; otherwise its request is
+    // rejected.
     bool allow_unreplicated = false;
-    Seconds retry_after = 1;  // for clients that are rejected
+    Seconds retry_after = 1;  // advised to rejected clients
     bool operator==(const EffectLogClientSettings&) const = default;
 };
 
-// Notifications that wait for a primary to take them; beyond this the oldest is given up.
+// Most notifications that wait for a primary's confirmation. Beyond this limit the oldest one is
+// dropped.
 inline constexpr std::size_t kMaxNotifications = 20000;
-// The longest interval in seconds between two sendings of one notification.
+// Longest interval between two sends of one notification.
 inline constexpr Seconds kMaxNotificationInterval = 2;
 
 }  // namespace tideline::replication
--- a/src/replication/local_writes.hpp
+++ b/src/replication/local_writes.hpp
@@ -1,5 +1,5 @@
-// Writes to this member's disk: their numbers, how far the disk has them, and the answers to
-// primaries that wait for that.
+// Writes to this member's disk: assigns their numbers, tracks which of them the disk has completed,
+// and holds back the answers to primaries that depend on them.
 #pragma once
 
 #include <map>
@@ -10,7 +10,8 @@
 
 namespace tideline::replication {
 
-// One thread; no I/O: the host writes, in the order of the calls.
+// Single-threaded and without I/O of its own: the host executes the writes in the order of the
+// calls.
 class LocalWrites {
   public:
     void store(ReplicaHost& host, ShardId shard_id, const Record& record);
@@ -18,13 +19,14 @@
     void store_shard_removal(ReplicaHost& host, ShardId shard_id);
     void store_table_version(ReplicaHost& host, TableVersion version);
 
-    // Answers of a backup to its primary. They count as stored, so they go out only once the disk
-    // has all that was written before.
+    // These functions send the answers of a backup to its primary. An answer states that everything
+    // before it is stored, so it is sent only once the disk has completed all earlier writes.
     void acknowledge_when_stored(ReplicaHost& host, const Name& to, MessageNumber number);
     void send_differences_when_stored(ReplicaHost& host, const Name& to, MessageNumber number,
                                       std::vector<std::size_t> ranges,
                                       std::vector<KeyVersion> key_versions);
-    // The disk has this write and all before it. Sends the answers that waited for them.
+    // The disk has completed this write and all earlier ones. Sends the answers that waited for
+    // them.
     void on_stored(ReplicaHost& host, WriteNumber up_to);
 
     WriteNumber last_write() const {
@@ -33,7 +35,7 @@
     bool is_stored(WriteNumber number) const {
         return number <= stored_write_;
     }
-    // Writes that the disk has not acknowledged.
+    // Number of writes that the disk has not completed.
     std::uint64_t unstored_count() const {
         return last_write_.value - stored_write_.value;
     }
@@ -45,7 +47,8 @@
     struct PendingAnswer {
         Name to;
         MessageNumber number;
-        // An answer to digests; otherwise an acknowledgement, without the two lists.
+        // True for an answer to digests. Otherwise the answer is an acknowledgement, and both lists
+        // are empty.
         bool has_differences = false;
         std::vector<std::size_t> ranges;
         std::vector<KeyVersion> key_versions;
@@ -55,11 +58,12 @@
     void answer_when_stored(ReplicaHost& host, PendingAnswer answer);
     void send_stored_answers(ReplicaHost& host);
 
-    // Rises by one with each write. 0: none yet.
+    // Increases by one with each write. 0: none yet.
     WriteNumber last_write_;
-    // The disk has this and all before it; never above `last_write_`.
+    // The disk has completed this write and all earlier ones; never above `last_write_`.
     WriteNumber stored_write_;
-    // By the last write before the answer; each is above `stored_write_`, or sent at once.
+    // Key: the last write before the answer. All keys are above `stored_write_`, because other
+    // answers are sent at once.
     std::multimap<WriteNumber, PendingAnswer> pending_answers_;
 };
 
--- a/src/replication/member_health.cpp
+++ b/src/replication/member_health.cpp
@@ -5,14 +5,14 @@
 namespace tideline::replication {
 namespace {
 
-constexpr Seconds kMaxComplaintAge = 3;  // seconds: an older complaint does not count
-// A primary is excluded once so many members report that it does not answer. A primary that is
-// reported to get no acknowledgement of so many members is excluded itself.
+constexpr Seconds kMaxComplaintAge = 3;  // older complaints do not count
+// A primary is excluded once this many members report that it does not answer, or once it reports
+// this many members that do not acknowledge.
 constexpr std::size_t kMinComplaints = 2;
 
-// Members, by the primary of their shards.
+// Members grouped by the primary of their shards.
 struct MembersByPrimary {
-    std::map<Name, std::set<Name>> lagging;  // reported lately as not acknowledging
+    std::map<Name, std::set<Name>> lagging;  // recently reported as not acknowledging
     std::map<Name, std::set<Name>> backups;  // replicas other than the primary
 };
 
@@ -82,7 +82,7 @@
     if (incarnation < member.incarnation) {
         return;
     }
-    // What a former incarnation reported of its disk does not hold for this one.
+    // The report of a former incarnation about its disk does not hold for this one.
     if (incarnation > member.incarnation) {
         member.report.reset();
     }
@@ -97,7 +97,7 @@
 bool MemberHealth::add_report(Seconds now, const Name& name, const Incarnation& incarnation,
                               const ReplicaReport& report, const std::set<Name>& silent_primaries) {
     MemberState& member = members_[name];
-    // A late message of a former incarnation names a former disk.
+    // A delayed report of a former incarnation describes a former disk.
     if (incarnation < member.incarnation) {
         return false;
     }
@@ -134,8 +134,8 @@
     return excluded;
 }
 
-// Excludes primaries that other members report as not answering. A primary that hears the others
-// and is not heard would block its shards for good.
+// Excludes primaries that other members report as not answering. A primary that receives messages
+// but whose own messages are lost would otherwise block its shards permanently.
 void MemberHealth::exclude_silent_primaries(Seconds now, std::vector<Exclusion>& excluded) {
     std::map<Name, std::size_t> complaints;
     std::size_t reporters = 0;
@@ -151,7 +151,8 @@
         }
     }
     for (const auto& [name, count] : complaints) {
-        // Half of the others have to complain: a lower count may be a fault of those who do.
+        // At least half of the other members have to complain: if fewer do, the fault may be
+        // theirs.
         if (reporters > 0 && count >= kMinComplaints && 2 * count >= reporters - 1) {
             exclude(now, {name, ExclusionReason::silent, count}, excluded);
         }
@@ -159,13 +160,13 @@
 }
 
 // Excludes members that do not acknowledge. A primary that gets no acknowledgement from most of its
-// backups is more likely the one that receives nothing: it is excluded instead.
+// backups more likely receives nothing itself, so it is excluded in their place.
 void MemberHealth::exclude_lagging(Seconds now, const ReplicaTable& table,
                                    const PrimaryReports& primary_reports,
                                    std::vector<Exclusion>& excluded) {
     MembersByPrimary members = members_by_primary(now, table, primary_reports);
     for (const auto& [primary, lagging] : members.lagging) {
-        // One that is absent does not acknowledge whatever the primary receives.
+        // An absent member can't acknowledge, so it is no evidence against the primary.
         const auto present = static_cast<std::size_t>(
             std::count_if(lagging.begin(), lagging.end(), [&](const Name& name) {
                 const auto member = members_.find(name);
@@ -179,7 +180,7 @@
     }
 }
 
-// An exclusion that has not ended is not extended.
+// Excludes a member for the cooldown. An exclusion that has not ended is not extended.
 void MemberHealth::exclude(Seconds now, const Exclusion& exclusion,
                            std::vector<Exclusion>& excluded) {
     MemberState& member = members_[exclusion.member];
@@ -224,7 +225,7 @@
         return true;
     }
     const auto it = members_.find(name);
-    // A new lease holder may not have heard of the member yet: that is no sign of a failure.
+    // A new lease holder may not know the member yet, which is no sign of a failure.
     if (it == members_.end()) {
         return now > lease_acquired_at_ + absence_limit_;
     }
@@ -237,8 +238,8 @@
     return it != members_.end() && now < it->second.excluded_until;
 }
 
-// Whether the member counts for the shard although it is excluded: all replicas within reach are,
-// and it is the first of them.
+// Whether the member counts for the shard although it is excluded: all reachable replicas are
+// excluded, and it is the first of them.
 bool MemberHealth::is_exempt_from_exclusion(Seconds now, ShardId shard_id, const Name& name) const {
     if (shard_id.value >= replicas_.size()) {
         return false;
--- a/src/replication/member_health.hpp
+++ b/src/replication/member_health.hpp
@@ -1,5 +1,5 @@
-// Health of the members, as the repair coordinator knows it from gossip and from their reports:
-// who may become a replica, whose replicas count, and whose are lost.
+// Health of the members, as known to the repair coordinator from gossip and from their reports:
+// which members may become replicas, whose replicas count, and whose are lost.
 #pragma once
 
 #include <map>
@@ -13,83 +13,91 @@
 
 namespace tideline::replication {
 
-// What is known of one member.
+// State of one member.
 struct MemberState {
     Place place;
-    // The newest that was heard of; what an earlier one sends is ignored.
+    // Newest known incarnation. Messages of earlier incarnations are ignored.
     Incarnation incarnation;
     bool present = false;
-    // When `present` changed last; 0: never.
+    // When `present` last changed; 0: never.
     Seconds presence_changed_at = 0;
-    // The last report of this incarnation, since the lease was acquired.
+    // Last report of this incarnation since the lease was acquired.
     std::optional<ReplicaReport> report;
     Seconds reported_at = 0;
-    // Until then the member counts as unavailable: others reported that it does not respond.
+    // Until this time the member counts as unavailable, because others reported that it does not
+    // respond.
     Seconds excluded_until = 0;
-    // Primaries that did not answer this member, and when it last reported so.
+    // Primaries that did not answer this member, and when it last reported each of them.
     std::map<Name, Seconds> silent_primaries;
 };
 
 // Why a member counts as unavailable although it is present.
 enum class ExclusionReason {
-    silent,   // others report that it does not answer as a primary
-    lagging,  // it does not acknowledge as a replica, or hears no acknowledgement as a primary
+    silent,  // other members report that it does not answer as a primary
+    // As a replica it does not acknowledge, or as a primary it receives no acknowledgements.
+    lagging,
 };
 const char* exclusion_reason_name(ExclusionReason reason);
 
 struct Exclusion {
     Name member;
     ExclusionReason reason = ExclusionReason::silent;
-    // Members that reported it.
+    // Number of members that reported the problem.
     std::size_t complaints = 0;
 };
 
-// One thread; no I/O, no clock: each call carries the time in seconds.
+// Single-threaded; neither does I/O nor reads a clock. Each call passes the time in seconds.
 class MemberHealth {
   public:
     explicit MemberHealth(const RepairSettings& settings);
 
-    // Forgets the reports to a former lease holder. `table` is the newest.
+    // Forgets the reports received under an earlier lease. `table` is the newest table.
     void lease_acquired(Seconds now, const ReplicaTable& table);
-    // Takes the version, the disks and the replica sets of a newer table.
+    // Adopts the version, the disks and the replica sets of a newer table.
     void apply_table(const ReplicaTable& table);
-    // Presence of a member, from gossip. Ignored if `incarnation` is older than the known one.
+    // Updates the presence of a member, as known from gossip. Ignored if `incarnation` is older
+    // than the known one.
     void update_member(Seconds now, const Name& name, const Incarnation& incarnation,
                        const Place& place, bool present);
-    // Stores a report. Returns false, and stores nothing, if its incarnation is older than the
-    // known one. `silent_primaries`: those that did not answer the member.
+    // Stores a report. Returns false and stores nothing if its incarnation is older than the known
+    // one. `silent_primaries` are those that did not answer the reporting member.
     bool add_report(Seconds now, const Name& name, const Incarnation& incarnation,
                     const ReplicaReport& report, const std::set<Name>& silent_primaries);
-    // By an operator: the replicas of this member count as lost.
+    // Called for an operator: from now on the replicas of this member count as lost.
     void remove_member(const Name& name);
-    // A removed member that is present again and is in no replica set of `table` may be used again.
+    // Lets a removed member be used again if it is present and is in no replica set of `table`.
     void readmit_returned_members(const ReplicaTable& table);
-    // Excludes members that others report as not responding, for the cooldown. Returns those that
-    // were not excluded before.
+    // Excludes members that others report as unresponsive for the cooldown. Returns those that were
+    // not excluded before.
     std::vector<Exclusion> exclude_unresponsive(Seconds now, const ReplicaTable& table,
                                                 const PrimaryReports& primary_reports);
 
-    // May become a replica: present, with a recent report and a disk that works.
+    // Whether the member may become a replica: it is present, has reported recently, and its disk
+    // works.
     bool is_healthy(Seconds now, const Name& name) const;
-    // Has a place in the ideal replica sets: present, or absent for less than the limit.
+    // Whether the member belongs to the ideal replica sets: it is present, or has been absent for
+    // less than the absence limit.
     bool is_placement_candidate(Seconds now, const Name& name) const;
-    // Its replica of the shard is out of reach or lost, or it is excluded. Exclusions never take
-    // the last replica within reach, which is the only one that the shard can be repaired from.
+    // Whether the member's replica of the shard is unreachable or lost, or the member is excluded.
+    // An exclusion never makes the last reachable replica unavailable, because the shard can be
+    // repaired only from that one.
     bool is_unavailable(Seconds now, ShardId shard_id, const Name& name) const;
-    // It has reported lately, under the newest table, that it holds its replica of the shard.
+    // Whether the member has reported recently that it has applied the newest table, and its
+    // replica of the shard is available.
     bool is_confirmed(Seconds now, ShardId shard_id, const Name& name) const;
-    // Its replica of the shard is gone for certain: removed, on another disk, or corrupt.
+    // Whether the member's replica of the shard is certainly lost: the member was removed, has
+    // another disk, or found the shard corrupt.
     bool is_lost(const Name& name, ShardId shard_id) const;
 
-    // All members that were ever heard of, or that a report named.
+    // All members that gossip or a report has ever named.
     const std::map<Name, MemberState>& members() const {
         return members_;
     }
     const std::set<Name>& removed_members() const {
         return removed_members_;
     }
-    // When the lease was acquired: until kMaxReplicaReportAge later, reports may still be on their
-    // way.
+    // When the lease was acquired. Until kMaxReplicaReportAge later, first reports may still be
+    // missing.
     Seconds lease_acquired_at() const {
         return lease_acquired_at_;
     }
@@ -106,12 +114,12 @@
     Seconds absence_limit_;
     Seconds cooldown_;
     std::map<Name, MemberState> members_;
-    // Removed by an operator, in the table or to be proposed with the next one.
+    // Members removed by an operator, already in the table or to be proposed with the next one.
     std::set<Name> removed_members_;
-    // Of the newest table: the disk on which each member's replicas are counted.
+    // From the newest table: the disk that holds each member's replicas.
     std::map<Name, Disk> disks_;
     TableVersion table_version_;
-    // Of the newest table: the replicas of each shard, its primary first.
+    // From the newest table: the replicas of each shard, the primary first.
     std::vector<std::vector<Name>> replicas_;
     Seconds lease_acquired_at_ = 0;
 };
--- a/src/replication/message_codec.hpp
+++ b/src/replication/message_codec.hpp
@@ -1,4 +1,5 @@
-// Between the replication state machines and the messages of replication.proto.
+// Conversion between the types of the replication state machines and the messages of
+// replication.proto.
 #pragma once
 
 #include <string>
@@ -9,18 +10,20 @@
 
 namespace tideline::replication {
 
-// Times in messages are ages in seconds: `now` is when the message is written, or came.
+// Messages contain ages in seconds in place of times: `now` is when the message is written or
+// received.
 void put(Seconds now, const Record& record, wire::HeldRecord& to);
 Record record_from(Seconds now, const wire::HeldRecord& from);
 std::string bytes_of(const ReplicaTable& table);
-// False where the bytes are no table, or a replica set names a member that the table does not have.
+// Returns false if the bytes are not a table, or if a replica set refers to a member that the table
+// does not list.
 bool table_from(const std::string& bytes, ReplicaTable& table);
-// `silent_primaries`: those that did not answer the reporting member.
+// `silent_primaries` are those that did not answer the reporting member.
 void put(const ReplicaReport& report, const std::set<Name>& silent_primaries, wire::HeldReport& to);
 ReplicaReport report_from(const wire::HeldReport& from, std::set<Name>& silent_primaries);
 
-// Sends what a replica and a client of the effect log have for other members. The effects on this
-// member are left to the derived class.
+// Sends the messages of a replica and of a client of the effect log to other members. Effects on
+// this member itself are implemented by the derived class.
 class MessageSender : public ReplicaHost, public EffectLogClientHost {
   public:
     virtual void post(const Name& to, const wire::Holding& message) = 0;
@@ -51,7 +54,8 @@
     void send_read(const Name& primary, RequestNumber number, const Key& key) override;
 };
 
-// Handles a message of another member. Reports, and messages of operators, are left to the caller.
+// Passes a message of another member to the replica or to the client of the effect log. Reports and
+// messages of operators are handled by the caller.
 void hear(Seconds now, const Name& from, const wire::Holding& message, Replica& replica,
           EffectLogClient& effect_log);
 
--- a/src/replication/message_fields.hpp
+++ b/src/replication/message_fields.hpp
@@ -1,5 +1,5 @@
-// Fields that several messages of replication.proto share. Times in messages are ages: `now` is
-// when the message is written, or came.
+// Conversion of fields that several messages of replication.proto share. Messages contain ages in
+// place of times: `now` is when the message is written or received.
 #pragma once
 
 #include <algorithm>
@@ -9,7 +9,8 @@
 
 namespace tideline::replication {
 
-// A number outside its enum becomes the last of it, never a value that the enum does not have.
+// Converts a number to an enum. A number beyond the enum becomes `last`, its last value, so the
+// result is always a valid value.
 template <class Kind>
 Kind within(std::uint32_t value, Kind last) {
     return static_cast<Kind>(std::min(value, static_cast<std::uint32_t>(last)));
@@ -37,7 +38,7 @@
     return attempt;
 }
 
-// Messages with the fields `high` and `low`.
+// For messages with the fields `high` and `low`.
 template <class To>
 void put(const Key& key, To& to) {
     to.set_high(key.value[0]);
--- a/src/replication/message_receiver.cpp
+++ b/src/replication/message_receiver.cpp
@@ -1,4 +1,5 @@
-// Messages of other members, as calls of the replica or of the client of the effect log.
+// Converts the messages of other members to calls of the replica or of the client of the effect
+// log.
 
 #include <algorithm>
 
--- a/src/replication/message_sender.cpp
+++ b/src/replication/message_sender.cpp
@@ -1,4 +1,4 @@
-// The messages that a replica and a client of the effect log send.
+// Writes the messages that a replica and a client of the effect log send.
 
 #include "replication/message_codec.hpp"
 #include "replication/message_fields.hpp"
@@ -94,8 +94,8 @@
     }
     post(to, message);
 }
-// On the wire this is the reply of a primary that can't answer yet: members of earlier versions,
-// too, send their request again after it.
+// On the wire this is a try_again reply, because members of earlier versions know it too and resend
+// their request after it.
 void MessageSender::reply_later(const Name& to, RequestNumber number, TableVersion version) {
     reply(to, number, Reply::try_again, version, nullptr);
 }
--- a/src/replication/notifications.cpp
+++ b/src/replication/notifications.cpp
@@ -48,7 +48,7 @@
     send_notification(now, id, added, requests, host);
 }
 
-// Sends to the primary, if it is known. The intervals between two sendings grow.
+// Sends the notification to the primary, if it is known. The interval between two sends grows.
 void Notifications::send_notification(Seconds now, NotificationId id, Notification& notification,
                                       PrimaryRequests& requests, EffectLogClientHost& host) {
     ids_by_request_.erase(notification.number);
--- a/src/replication/notifications.hpp
+++ b/src/replication/notifications.hpp
@@ -1,4 +1,5 @@
-// Notifications of the effect log's client to primaries, each sent until one has taken it.
+// Notifications of the effect log's client to primaries. Each is resent until a primary confirms
+// it.
 #pragma once
 
 #include <cstdint>
@@ -13,31 +14,32 @@
 
 namespace tideline::replication {
 
-// An outcome of an attempt, bytes to store, or a read. One thread; no I/O, no clock.
+// A notification is the outcome of an attempt, bytes to store, or a read. Single-threaded; neither
+// does I/O nor reads a clock.
 class Notifications {
   public:
     explicit Notifications(const EffectLogClientSettings& settings) : settings_(settings) {}
 
-    // Sends at once, if the primary is known.
+    // These functions send a notification at once if the primary is known.
     void settle(Seconds now, const Key& key, const AttemptRecord& attempt,
                 const std::string& answer, PrimaryRequests& requests, EffectLogClientHost& host);
     void store_bytes(Seconds now, const Key& key, const std::string& bytes,
                      PrimaryRequests& requests, EffectLogClientHost& host);
     void read(Seconds now, const Key& key, PrimaryRequests& requests, EffectLogClientHost& host);
-    // Sends all again with the next tick, as after a new table.
+    // Makes the next tick resend all notifications, as after a new table.
     void resend_all(Seconds now);
-    // Returns false where the number is not that of a notification.
+    // Returns false if the number does not belong to a notification.
     bool on_reply(RequestNumber number, Reply reply, const Record* record,
                   PrimaryRequests& requests, EffectLogClientHost& host);
-    // Gives up those that have timed out, and sends those that are due.
+    // Drops the notifications that have timed out, and resends those that are due.
     void tick(Seconds now, PrimaryRequests& requests, EffectLogClientHost& host);
-    // When tick is to be called next; infinite without notifications.
+    // When tick has to be called next; infinite without notifications.
     Seconds due() const;
 
     std::size_t count() const {
         return notifications_.size();
     }
-    // Digest of the state, for the model checker.
+    // Digest of the state for the model checker.
     std::string state() const;
 
   private:
@@ -46,13 +48,13 @@
         enum class Kind { settle, store_bytes, read };
         Kind kind = Kind::settle;
         Key key;
-        // settle: the attempt, with its outcome.
+        // settle: the attempt and its outcome.
         AttemptRecord attempt;
-        // settle: the endpoint's answer. store_bytes: the bytes.
+        // settle: the endpoint's answer. store_bytes: the bytes to store.
         std::string bytes;
         Seconds since = 0;
         Seconds resend_at = 0;
-        // Of the request that was sent last; 0: none yet.
+        // Number of the last request that was sent for it; 0: none yet.
         RequestNumber number;
     };
 
@@ -64,7 +66,8 @@
     EffectLogClientSettings settings_;
     // In the order in which they were added; at most kMaxNotifications.
     std::map<NotificationId, Notification> notifications_;
-    // By the number of the request that was sent last. May name one that was given up.
+    // Notifications by the number of their last request. May refer to a notification that was
+    // dropped.
     std::map<RequestNumber, NotificationId> ids_by_request_;
     NotificationId last_id_ = 0;
 };
--- a/src/replication/owner_liveness.hpp
+++ b/src/replication/owner_liveness.hpp
@@ -1,4 +1,4 @@
-// Whether the sidecar that claimed an attempt may still send it.
+// Determines whether the sidecar that claimed an attempt may still send it.
 #pragma once
 
 #include <map>
@@ -8,18 +8,20 @@
 
 namespace tideline::replication {
 
-// One thread; no I/O, no clock.
+// Single-threaded; neither does I/O nor reads a clock.
 class OwnerLiveness {
   public:
-    // `unknown_member_timeout`: a member that was not heard of for so many seconds after
-    // `started_at` is dead.
+    // `unknown_member_timeout`: a member of which nothing is known this many seconds after
+    // `started_at` counts as dead.
     OwnerLiveness(const Name& self, const Incarnation& incarnation, Seconds started_at,
                   Seconds unknown_member_timeout);
 
-    // Presence of a member, from gossip. Ignored if `incarnation` is older than the known one.
+    // Updates the presence of a member, as known from gossip. Ignored if `incarnation` is older
+    // than the known one.
     void update_member(const Name& name, const Incarnation& incarnation, bool gone);
-    // A member that is only cut off from here may still send what it claimed. So what follows from
-    // this may be no more than what the rules allow beside an attempt that may yet run.
+    // Whether the owner of an attempt counts as dead. The owner may merely be cut off from this
+    // member, and may still send the attempt. The caller may therefore do only what is allowed
+    // beside an attempt that may still run.
     bool is_dead(Seconds now, const EffectOwner& owner) const;
     // Members whose newest incarnation is gone.
     const std::set<Name>& gone_members() const {
@@ -31,7 +33,7 @@
     Incarnation incarnation_;
     Seconds started_at_;
     Seconds unknown_member_timeout_;
-    // The newest that was heard of, of each other member.
+    // Newest known incarnation of each other member.
     std::map<Name, Incarnation> incarnations_;
     std::set<Name> gone_;
 };
--- a/src/replication/pending_operations.hpp
+++ b/src/replication/pending_operations.hpp
@@ -1,4 +1,4 @@
-// Operations of a primary that wait for acknowledgements: of other members, and of its own disk.
+// Operations of a primary that wait for acknowledgements by other members and by its own disk.
 #pragma once
 
 #include <cstdint>
@@ -14,59 +14,63 @@
 
 namespace tideline::replication {
 
-// Rises by one with each operation of a process; 0: none.
+// Increases by one with each operation of a process; 0: none.
 using OperationNumber = std::uint64_t;
 
-// The request that an operation answers.
+// Identifies the request that an operation answers.
 struct ReplyTarget {
     Name name;
     RequestNumber number;
 };
 
-// One key of a shard, sent to other members.
+// The replication of one key of a shard to other members.
 struct Operation {
     ShardId shard_id;
     Key key;
-    // Sent to one member that catches up; no claimant waits.
+    // The operation repairs one member that catches up; no claimant waits for it.
     bool is_repair = false;
-    // Carries a new version of the record; otherwise it asks for confirmation of the present one.
+    // The operation replicates a new version of the record; otherwise the members confirm the
+    // present one.
     bool is_write = false;
     std::optional<ReplyTarget> claimant;
     Reply reply = Reply::granted;
-    // Has to be on the disk of this member first.
+    // Local write that this member's disk has to complete before the operation ends.
     WriteNumber local_write;
-    // Members that have not acknowledged, each with the time since which it is awaited.
+    // Members that have not acknowledged the operation, and since when each is awaited.
     std::map<Name, Seconds> awaited;
-    // When it was sent last.
+    // When the operation was last sent.
     Seconds sent_at = 0;
 };
 
-// One thread; no I/O, no clock.
+// Single-threaded; neither does I/O nor reads a clock.
 class PendingOperations {
   public:
     using Map = std::map<OperationNumber, Operation>;
 
-    // The number of the next operation that is added.
+    // Returns the number that the next added operation gets.
     OperationNumber next_number() const {
         return last_number_ + 1;
     }
-    // The reference holds until the operation is erased.
+    // The reference stays valid until the operation is erased.
     Operation& add(Operation operation);
-    // Null where it has ended.
+    // Returns null if the operation has ended.
     Operation* find(OperationNumber number);
     void erase(OperationNumber number);
 
-    // Whether it waits neither for a member nor for the own disk.
+    // Whether the operation waits neither for another member nor for this member's disk.
     static bool is_ready(const Operation& operation, const LocalWrites& local_writes);
-    // Those that are ready, of one shard or of all, in order.
+    // Returns the operations of one shard, or of all shards, that are ready, in the order of their
+    // numbers.
     std::vector<OperationNumber> ready_operations(
         const LocalWrites& local_writes, std::optional<ShardId> shard_id = std::nullopt) const;
-    // Those that were sent last at least `interval` ago and wait for members, in order.
+    // Returns the operations that wait for members and were last sent at least `interval` ago, in
+    // the order of their numbers.
     std::vector<OperationNumber> overdue_operations(Seconds now, Seconds interval) const;
-    // Members that have not acknowledged an operation for longer than `limit`, with its shard.
+    // Returns the members that have not acknowledged an operation for longer than `limit`, with its
+    // shard.
     std::set<std::pair<ShardId, Name>> lagging_members(Seconds now, Seconds limit) const;
 
-    // In the order of their numbers.
+    // Returns all operations in the order of their numbers.
     Map& all() {
         return operations_;
     }
--- a/src/replication/placement.cpp
+++ b/src/replication/placement.cpp
@@ -20,8 +20,8 @@
     });
     std::vector<Name> chosen;
     std::set<Place> used_places;
-    // Two replicas in one place are lost together. Only a replica for which there is no further
-    // place goes where one is.
+    // Two replicas in one place may be lost together. A place is used twice only if there are fewer
+    // places than replicas.
     for (const bool may_share_place : {false, true}) {
         for (const auto& [weight, name] : order) {
             if (chosen.size() >= wanted) {
--- a/src/replication/placement.hpp
+++ b/src/replication/placement.hpp
@@ -1,5 +1,6 @@
-// Where the replicas of a shard belong: by rendezvous, so that little moves when a member comes or
-// goes, and in different places as long as there are enough of them.
+// Assignment of the replicas of a shard to members, by rendezvous hashing: few replicas move when a
+// member joins or leaves. Replicas of a shard are in different places as long as there are enough
+// places.
 #pragma once
 
 #include <vector>
@@ -8,8 +9,8 @@
 
 namespace tideline::replication {
 
-// The first `wanted` of `members`, primary first; fewer where there are fewer. Same input, same
-// answer.
+// Returns the `wanted` best-ranked of `members`, the primary first, or fewer if there are not
+// enough members. The same input gives the same result.
 std::vector<Name> placed(ShardId shard_id, const std::map<Name, Place>& members,
                          std::size_t wanted);
 
--- a/src/replication/primary_requests.cpp
+++ b/src/replication/primary_requests.cpp
@@ -21,7 +21,7 @@
 
 RequestNumber PrimaryRequests::begin_request(Seconds now, const Name& primary) {
     Unanswered& unanswered = unanswered_.try_emplace(primary, Unanswered{now, now}).first->second;
-    // A request that nobody repeats may not count as a complaint for good.
+    // A request that is no longer resent must not count against the primary forever.
     if (now > unanswered.last_request_at + kMaxNotificationInterval + claim_timeout_) {
         unanswered.since = now;
     }
--- a/src/replication/primary_requests.hpp
+++ b/src/replication/primary_requests.hpp
@@ -1,5 +1,5 @@
-// Requests of the effect log's client to primaries: whom to ask, their numbers, and which primaries
-// do not answer.
+// Requests of the effect log's client to primaries: determines the primary to send to, assigns
+// request numbers, and tracks which primaries do not answer.
 #pragma once
 
 #include <cstdint>
@@ -10,27 +10,29 @@
 
 namespace tideline::replication {
 
-// One thread; no I/O, no clock.
+// Single-threaded; neither does I/O nor reads a clock.
 class PrimaryRequests {
   public:
-    // `last_number` differs with each incarnation: a reply to a former one may fit no request of
-    // this one. `claim_timeout` is in seconds.
+    // `last_number` has to differ for each incarnation, so that a reply to an earlier incarnation
+    // matches no request of this one. `claim_timeout` is in seconds.
     PrimaryRequests(std::uint64_t last_number, Seconds claim_timeout)
         : claim_timeout_(claim_timeout), last_number_(last_number) {}
 
-    // Returns false where the table is not newer than the known one.
+    // Returns false if the table is not newer than the known one.
     bool apply_table(const ReplicaTable& table);
     TableVersion table_version() const {
         return table_.version;
     }
-    // Null where no table is known, or the shard has no replicas. Valid until the next table.
+    // Returns null if no table is known or if the shard has no replicas. Valid until the next
+    // table.
     const Name* primary_of(const Key& key) const;
 
-    // A request to the primary goes out now. Returns its number.
+    // Records that a request is sent to the primary now. Returns the number of the request.
     RequestNumber begin_request(Seconds now, const Name& primary);
-    // The primary of the key has answered.
+    // Records that the primary of the key has answered.
     void on_reply(const Key& key);
-    // Primaries that have not answered for twice the claim timeout, although asked of late.
+    // Returns the primaries that have not answered for twice the claim timeout although requests
+    // were sent to them recently.
     std::set<Name> silent_primaries(Seconds now) const;
 
   private:
--- a/src/replication/repair_alarms.cpp
+++ b/src/replication/repair_alarms.cpp
@@ -5,13 +5,14 @@
 namespace tideline::replication {
 namespace {
 
-// Stored by the planners under these keys; they can't change.
+// Alarm keys. The planners store them, so they can't change.
 constexpr const char* kUnavailableKey = "lost";
 constexpr const char* kUnderReplicatedKey = "few";
 constexpr const char* kSinglePlaceKey = "one place";
 constexpr const char* kDataLostKey = "blind";
 
-// s: a text is told again no sooner, as each telling is an entry in the planners' log.
+// Minimum time between two updates of an alarm's text, because each update is an entry in the
+// planners' log.
 constexpr Seconds kTextUpdateInterval = 5;
 
 std::string join_names(const std::set<Name>& names) {
--- a/src/replication/repair_alarms.hpp
+++ b/src/replication/repair_alarms.hpp
@@ -1,4 +1,4 @@
-// Incident alarms of the whole fleet on the state of its shards.
+// Fleet-wide incident alarms about the state of the shards.
 #pragma once
 
 #include <map>
@@ -9,20 +9,20 @@
 
 namespace tideline::replication {
 
-// Raises an alarm when its count of shards becomes positive, and clears it when the count is zero.
-// A text whose figures changed is told again after a while. One thread; no I/O, no clock: each call
-// carries the time in seconds.
+// Raises an alarm when its count of shards becomes positive, and clears it when the count returns
+// to zero. Updates the text of a raised alarm when its figures change, with a minimum interval.
+// Single-threaded; neither does I/O nor reads a clock: each call passes the time in seconds.
 class RepairAlarms {
   public:
-    // `table` is the one that `status` was counted from.
+    // `table` is the table from which `status` was counted.
     void update(Seconds now, const ReplicationStatus& status, const ReplicaTable& table,
                 RepairCoordinatorHost& host);
-    // Forgets what was told, as by a former lease holder: the next update raises or clears each
-    // alarm, also those that the former holder left raised.
+    // Forgets the state of all alarms, as after a change of the lease holder: the next update
+    // raises or clears each alarm, including those that the former holder left raised.
     void reset();
 
   private:
-    // What the planners were told of an alarm last.
+    // The state of an alarm that was last sent to the planners.
     struct ReportedAlarm {
         bool raised = false;
         std::string text;
@@ -31,7 +31,7 @@
     void set(Seconds now, const std::string& key, std::size_t count, const std::string& text,
              RepairCoordinatorHost& host);
 
-    // By key; none after a reset.
+    // By alarm key; empty after a reset.
     std::map<std::string, ReportedAlarm> reported_alarms_;
 };
 
--- a/src/replication/repair_allowance.hpp
+++ b/src/replication/repair_allowance.hpp
@@ -1,4 +1,4 @@
-// Limits the bytes a second that are sent to members that catch up.
+// Limits the bytes per second that are sent to members that catch up.
 #pragma once
 
 #include <algorithm>
@@ -8,14 +8,14 @@
 
 namespace tideline::replication {
 
-// A token bucket: holds at most what the rate allows in kRepairAllowanceWindowSeconds. It may be
-// overdrawn by one record. One thread; no clock.
+// A token bucket. Its capacity is the rate times kRepairAllowanceWindowSeconds, and one record may
+// overdraw it. Single-threaded; reads no clock.
 class RepairAllowance {
   public:
-    // `rate` is in bytes a second.
+    // `rate` is in bytes per second.
     RepairAllowance(double rate, Seconds now) : rate_(rate), updated_at_(now) {}
 
-    // Adds what the rate allows since the last call.
+    // Adds the bytes that have accrued since the last call.
     void refill(Seconds now) {
         bytes_ =
             std::min(kRepairAllowanceWindowSeconds * rate_, bytes_ + (now - updated_at_) * rate_);
@@ -30,7 +30,7 @@
 
   private:
     double rate_;
-    // Bytes that may be sent; below zero after an overdraft.
+    // Bytes that may be sent; negative after an overdraft.
     double bytes_ = 0;
     Seconds updated_at_;
 };
--- a/src/replication/repair_coordinator.cpp
+++ b/src/replication/repair_coordinator.cpp
@@ -10,9 +10,10 @@
 namespace tideline::replication {
 namespace {
 
-constexpr double kPlanIntervalFactor = 0.25;  // of the report interval: a plan is made so often
-constexpr Seconds kProposalRetryDelay = 0.3;  // seconds after a proposal that failed
-constexpr Seconds kProposalTimeout = 3;       // seconds: an unanswered proposal counts as failed
+// planning interval, as a fraction of the report interval
+constexpr double kPlanIntervalFactor = 0.25;
+constexpr Seconds kProposalRetryDelay = 0.3;  // after a failed proposal
+constexpr Seconds kProposalTimeout = 3;       // after which an unanswered proposal counts as failed
 
 }  // namespace
 
@@ -98,7 +99,7 @@
     return !proposing_ && now >= propose_at_;
 }
 
-// Proposes the next table, if it differs from the present one in more than its version.
+// Proposes the next table if it differs from the present one in more than its version.
 void RepairCoordinator::propose_next_table(Seconds now) {
     const ReplicaTable next =
         ReplicaSetPlanner(settings_, table_, member_health_, primary_reports_, now).next_table();
--- a/src/replication/repair_settings.hpp
+++ b/src/replication/repair_settings.hpp
@@ -8,18 +8,18 @@
 namespace tideline::replication {
 
 struct RepairSettings {
-    std::size_t shards = 256;       // of the first table; later tables have as many
-    std::size_t replicas = 2;       // of each shard, in different places
-    std::size_t min_replicas = 2;   // with fewer nothing is acknowledged; at most `replicas`
-    Seconds absence_limit = 30;     // a member that is gone for longer is replaced
-    Seconds cooldown = 10;          // a member that did not acknowledge is excluded for so long
-    Seconds report_interval = 0.5;  // interval of asking for reports
-    std::size_t max_moves = 16;     // shards that catch up at once
+    std::size_t shards = 256;       // number of shards, fixed by the first table
+    std::size_t replicas = 2;       // desired replicas of each shard
+    std::size_t min_replicas = 2;   // needed to acknowledge a write; at most `replicas`
+    Seconds absence_limit = 30;     // after which an absent member is replaced
+    Seconds cooldown = 10;          // duration of an exclusion
+    Seconds report_interval = 0.5;  // between two requests for reports
+    std::size_t max_moves = 16;     // limit for shards that catch up at the same time
     bool operator==(const RepairSettings&) const = default;
 };
 
-// Age limit of a report in seconds: an older one does not tell how its member is now. After the
-// lease was acquired, members have so long to send the first report.
+// Age limit of a report: an older one does not show the member's present state. Members also have
+// this long to send their first report after the lease was acquired.
 inline constexpr Seconds kMaxReplicaReportAge = 3;
 
 }  // namespace tideline::replication
--- a/src/replication/replica.cpp
+++ b/src/replication/replica.cpp
@@ -13,11 +13,13 @@
 namespace tideline::replication {
 namespace {
 
-constexpr unsigned kStepBitsOfOneStart = 40;   // steps of one start, by their number of bits
-constexpr unsigned kMessageBitsPerStart = 32;  // messages of one start, likewise
+// Bits of a version's step that count the writes of one start of the process.
+constexpr unsigned kStepBitsOfOneStart = 40;
+// Bits of a message number that count the messages of one start of the process.
+constexpr unsigned kMessageBitsPerStart = 32;
 
-// The number before the first message: another one for each start of each disk, with room for all
-// messages that follow.
+// Returns the number that precedes the first message. It differs for each start of each disk, and
+// leaves room for all messages of that start.
 std::uint64_t first_message_number(const Disk& disk, std::uint64_t start_count) {
     const std::array<std::uint64_t, 2> parts{disk.value, start_count};
     return XXH3_64bits(parts.data(), sizeof parts) << kMessageBitsPerStart;
@@ -35,13 +37,13 @@
       newest_table_(found.table_version),
       sent_messages_(first_message_number(disk, found.start_count)),
       repair_allowance_(settings.repair_rate, now),
-      // A write that went out and was lost on the own disk may not share its number with a later
-      // one.
+      // A write may have reached other members although this disk lost it in a crash, so a later
+      // write must not get the same step.
       last_step_(found.start_count << kStepBitsOfOneStart),
       due_(now) {
     for (auto& [shard_id, record] : found.records) {
         record.expires_at += now;
-        // How long ago it went out is not known any more: too long for any repeat.
+        // The age of the attempt is unknown after a restart. It counts as too old for a retry.
         for (AttemptRecord& attempt : record.attempts) {
             attempt.sent_at = -kNever;
         }
@@ -53,7 +55,8 @@
         shards_[shard_id].corrupt = true;
         host.log_alarm(fmt::format("shard corrupt: shard={} action=catch_up", shard_id.value));
     }
-    // Nothing is acted on before a table is here that is as new as the one on the disk.
+    // The replica stays inactive until it has a table that is at least as new as the one on the
+    // disk.
     host.request_table(newest_table_);
 }
 
@@ -77,7 +80,8 @@
                   (is_waiting_for_members() ? settings_.resend_interval / 3 : kExpiryInterval));
 }
 
-// Forgets messages that can't be acknowledged any more, and resends what waits for too long.
+// Forgets sent messages whose acknowledgement would no longer count, and resends overdue
+// operations.
 void Replica::resend_overdue(Seconds now) {
     sent_messages_.forget_expired(now);
     const std::vector<OperationNumber> overdue =
@@ -90,10 +94,10 @@
     notify_waiting_claimants(overdue);
 }
 
-// A primary that waits for another replica is not silent: without a reply its claimants would
-// report it, and the repair coordinator would take the one complete replica for unreachable. One
-// reply to each claimant is enough. Not while its own disk is what it waits for: a disk that hangs
-// has to be noticed.
+// Tells the claimants of overdue operations that their requests are still waiting. Without any
+// reply they would report this primary as silent, and the repair coordinator would consider the
+// only complete replica unavailable. One reply to each claimant suffices. Operations that wait for
+// this member's own disk are left out, because a disk that hangs has to be noticed.
 void Replica::notify_waiting_claimants(const std::vector<OperationNumber>& overdue) {
     std::map<Name, RequestNumber> newest;
     const auto add = [&](const Name& name, RequestNumber number) {
--- a/src/replication/replica.hpp
+++ b/src/replication/replica.hpp
@@ -1,8 +1,9 @@
-// The shards that one member holds. As a backup it stores what a primary sends. As a primary it
-// answers claimants, one write of a key at a time, and only once all replicas have it on their
-// disks. Primary-backup replication after "PacificA" (Lin, Yang, Zhang, Zhou, 2008); the replica
-// sets are agreed on elsewhere (repair_coordinator.hpp). One thread; no I/O and no clock: `now` is
-// in seconds of a clock that goes on while the machine sleeps.
+// The shards that one member holds. As a backup, the member stores the records that the primary
+// sends. As the primary, it handles the requests of claimants: it executes one write per key at a
+// time, and replies only once all replicas have the write on their disks. This is primary-backup
+// replication as in "PacificA" (Lin, Yang, Zhang, Zhou, 2008); the replica sets are decided
+// elsewhere (repair_coordinator.hpp). The class is single-threaded and neither does I/O nor reads a
+// clock: `now` is in seconds of a clock that keeps running while the machine is suspended.
 #pragma once
 
 #include <algorithm>
@@ -25,33 +26,35 @@
 
 namespace tideline::replication {
 
-// Settings, fixed at the start.
+// Settings of a replica, fixed when it is created.
 struct ReplicaSettings {
-    Seconds time_to_live = 120;          // time to live of a record after its last change
-    Seconds bytes_time_to_live = 86400;  // the same, of bytes
-    Seconds resend_interval = 0.3;       // interval of resending what is not acknowledged
-    Seconds lag_limit = 1;  // a replica that acknowledges nothing for so long is reported
-    Seconds comparison_interval = 60;  // interval of comparing a shard with its replicas
-    double repair_rate = 2e6;          // bytes a second sent to members that catch up
-    std::size_t repair_window = 64;    // records in flight to one member that catches up
+    Seconds time_to_live = 120;          // of a record, counted from its last change
+    Seconds bytes_time_to_live = 86400;  // of a record that stores bytes only
+    Seconds resend_interval = 0.3;       // between two sends of an unacknowledged message
+    // A member that has not acknowledged a message for this long is reported as lagging.
+    Seconds lag_limit = 1;
+    Seconds comparison_interval = 60;  // between two comparisons of a shard with its replicas
+    double repair_rate = 2e6;          // limit for members that catch up, in bytes per second
+    std::size_t repair_window = 64;    // most unacknowledged records to one member that catches up
     bool operator==(const ReplicaSettings&) const = default;
 };
 
-// What a disk held when the process started.
+// Contents of the disk when the process started.
 struct StoredState {
-    std::uint64_t start_count = 1;                    // how often this disk was opened
+    std::uint64_t start_count = 1;                    // number of times that this disk was opened
     TableVersion table_version;                       // of the newest table that was applied
-    std::vector<std::pair<ShardId, Record>> records;  // expires_at: seconds left, from now
-    std::set<ShardId> corrupt;                        // a row of these was altered
+    std::vector<std::pair<ShardId, Record>> records;  // expires_at is the remaining time to live
+    std::set<ShardId> corrupt;                        // shards with an altered row
 };
 
-// State machine of one member; see the top of the file. Its calls are grouped by their caller.
+// State machine of one member, as described at the top of this file. The public calls are grouped
+// by their caller.
 class Replica {
   public:
-    // `host` outlives this.
+    // `host` has to outlive the replica.
     Replica(ReplicaHost& host, const ReplicaSettings& settings, const Name& self, const Disk& disk,
             StoredState found, Seconds now);
-    // A copy for another simulated world.
+    // Copies a replica into another simulated world.
     Replica(const Replica& other, ReplicaHost& host);
     Replica(const Replica&) = default;
     ~Replica() = default;
@@ -59,9 +62,10 @@
 
     // Ignores a table that is not newer than the known one.
     void apply_table(Seconds now, const ReplicaTable& table);
-    // Requests of claimants, answered by ReplicaHost::reply. `known_version`: of the record, where
-    // the claimant knows of attempts of others. `content`: digest of the request's content; a
-    // fingerprint with other content is answered with key_conflict.
+    // Requests of claimants, answered by ReplicaHost::reply. `known_version` is the version of the
+    // record if the claimant knows about the attempts of other claimants. `content` is the digest
+    // of the request's content; a claim whose fingerprint was used with other content is answered
+    // with key_conflict.
     void claim(Seconds now, const Name& from, RequestNumber number, const Key& key,
                std::uint64_t content, const AttemptRecord& attempt,
                std::optional<Version> known_version);
@@ -70,10 +74,12 @@
     void store_bytes(Seconds now, const Name& from, RequestNumber number, const Key& key,
                      const std::string& bytes);
     void read(Seconds now, const Name& from, RequestNumber number, const Key& key);
-    // Between a primary and its replicas. `since`: the table that set the sender's replica set.
+    // Messages between a primary and the other members of a shard. `since` is the table version
+    // that introduced the sender's replica set.
     void receive_record(Seconds now, const Name& from, ShardId shard_id, TableVersion since,
                         MessageNumber number, const Record* record);
-    // After an acknowledgement: the primary's message had arrived within `delay` seconds.
+    // Follows an acknowledgement of this member: the acknowledged message was delayed by at most
+    // `delay`.
     void receive_delay(const Name& from, ShardId shard_id, const Key& key, MessageNumber number,
                        Seconds delay);
     void on_acknowledged(Seconds now, const Name& from, MessageNumber number);
@@ -83,11 +89,11 @@
     void receive_differences(Seconds now, const Name& from, MessageNumber number,
                              const std::vector<std::size_t>& ranges,
                              const std::vector<KeyVersion>& key_versions);
-    // The disk has this write and all before it.
+    // The disk has completed this write and all earlier ones.
     void on_stored(Seconds now, WriteNumber up_to);
     // A row of the shard was found altered on the disk.
     void mark_corrupt(Seconds now, ShardId shard_id);
-    // To be called at due().
+    // The owner calls this at the time that due() returns.
     void tick(Seconds now);
     Seconds due() const {
         return due_;
@@ -96,24 +102,27 @@
     const ReplicaTable& table() const {
         return table_;
     }
-    // No older table is applied, also after a restart.
+    // Version of the newest table that was ever applied. Older tables are ignored, even after a
+    // restart.
     TableVersion newest_table_seen() const {
         return newest_table_;
     }
-    // Changes state: writes wait from then on for the members that it names as caught up.
+    // Builds the report for the repair coordinator. This changes state: from now on, writes wait
+    // for the members that the report names as caught up.
     ReplicaReport report(Seconds now);
-    // As this member has it, acknowledged or not; for operators and tests. Null where it has none.
+    // Returns this member's version of the record, whether acknowledged or not, or null if it has
+    // none. For operators and tests.
     const Record* find(const Key& key) const;
     std::size_t records() const;
     bool is_open(ShardId shard_id) const;
     bool is_primary(ShardId shard_id) const;
-    // Held, and not corrupt.
+    // Whether this member holds the shard and has not found it corrupt.
     bool holds(ShardId shard_id) const;
-    // Digest of the state, for the model checker: worlds with equal texts behave alike.
+    // Digest of the state for the model checker: worlds with equal texts behave alike.
     std::string state() const;
 
   private:
-    // replica_table.cpp: what a new table changes.
+    // replica_table.cpp: applies a new table.
     void drop_unassigned_shards(bool own_disk);
     void clear_shard(ShardId shard_id, Shard& shard);
     void assign_shard(Seconds now, ShardId shard_id, const ReplicaSet& replica_set);
@@ -123,12 +132,12 @@
     void reply_without_record(const Operation& operation, Reply reply);
     void reply_to_queued(Shard& shard, Reply reply);
 
-    // replica_primary.cpp: requests of claimants.
+    // replica_primary.cpp: handles the requests of claimants.
     void handle_request(Seconds now, ClaimantRequest request);
     void serve_request(Seconds now, ShardId shard_id, Shard& shard, const ClaimantRequest& request);
     void serve_queued_requests(Seconds now, ShardId shard_id, const Key& key);
 
-    // replica_operations.cpp: writes, and operations that wait for acknowledgements.
+    // replica_operations.cpp: writes records, and waits for the acknowledgements of the replicas.
     void store_record(ShardId shard_id, Shard& shard, const Record& record);
     void write(Seconds now, ShardId shard_id, Shard& shard, Record record,
                std::optional<ReplyTarget> claimant, Reply reply);
@@ -141,7 +150,7 @@
     void finish_operation(Seconds now, OperationNumber number);
     void finish_operations(Seconds now, const std::vector<OperationNumber>& numbers);
 
-    // replica_catch_up.cpp: comparison with the other members of a shard, and repair.
+    // replica_catch_up.cpp: compares a shard with its other members and repairs them.
     void start_comparison(Seconds now, ShardId shard_id, Shard& shard, const Name& name);
     bool overwrite_newer_versions(Seconds now, ShardId shard_id, Shard& shard,
                                   const std::vector<KeyVersion>& key_versions,
@@ -150,11 +159,11 @@
     void compare_and_repair_peers(Seconds now, ShardId shard_id, Shard& shard);
     void stop_waiting_for_lagging_peers(Seconds now, ShardId shard_id, Shard& shard);
 
-    // replica_backup.cpp: messages of a primary.
+    // replica_backup.cpp: handles the messages of a primary.
     Shard* shard_of_primary(const Name& from, ShardId shard_id, TableVersion since,
                             MessageNumber number);
 
-    // replica_expiry.cpp
+    // replica_expiry.cpp: drops records.
     void drop_records_if(ShardId shard_id, Shard& shard,
                          const std::function<bool(const Record&)>& is_dropped);
     void drop_expired_records(Seconds now);
@@ -171,19 +180,20 @@
     Name self_;
     Disk disk_;
     std::uint64_t start_count_;
-    // The newest table that was applied by this process; version 0 before the first.
+    // Newest table that this process has applied; version 0 before the first one.
     ReplicaTable table_;
-    // Version of the newest table that was ever applied on this disk: no older one is acted on.
+    // Version of the newest table that was ever applied on this disk. Older tables are ignored.
     TableVersion newest_table_;
-    // Those that `table_` places on this disk; before the first table, those that the disk had.
+    // The shards that `table_` assigns to this disk. Before the first table: the shards found on
+    // the disk.
     std::map<ShardId, Shard> shards_;
-    // Each is of a shard in `shards_`.
+    // Each operation belongs to a shard in `shards_`.
     PendingOperations operations_;
     SentMessages sent_messages_;
     LocalWrites local_writes_;
     RepairAllowance repair_allowance_;
-    // Step of the newest version that this primary gave to a record. Each start has a range of its
-    // own, above those of all former ones.
+    // Step of the newest version that this primary has assigned. Each start of the process uses a
+    // range of its own, above the ranges of all earlier starts.
     std::uint64_t last_step_;
     Seconds due_ = 0;
     Seconds expiry_checked_at_ = 0;
--- a/src/replication/replica_backup.cpp
+++ b/src/replication/replica_backup.cpp
@@ -1,5 +1,5 @@
-// Replica as a backup: takes records and digests of the primary, and acknowledges them once they
-// are stored.
+// Replica as a backup: receives records and digests from the primary, and acknowledges them once
+// they are stored.
 
 #include <fmt/format.h>
 
@@ -12,9 +12,10 @@
 namespace tideline::replication {
 namespace {
 
-// The record as it is stored by a backup. `held`: what it had of the key, or null. Times in a
-// message count from its arrival, so a send time may be later than the true one: it is put back by
-// the longest delay, unless the backup had an exacter one, of an earlier message on the attempt.
+// Returns the record as a backup stores it. `held` is the backup's previous record of the key, or
+// null. Ages in a message are counted from its arrival, so a send time may be later than the true
+// one. It is moved back by the longest delay, unless an earlier message on the same attempt gave a
+// more accurate time.
 Record received_record(const Record& received, const Record* held) {
     Record record = received;
     for (AttemptRecord& attempt : record.attempts) {
@@ -43,8 +44,8 @@
 
 }  // namespace
 
-// The shard of a message, if `from` is its primary. Otherwise null: refuses a primary that was
-// deposed, and asks for a newer table where the primary's is newer than the own one.
+// Returns the shard that a message is about if `from` is its primary, otherwise null. Refuses a
+// deposed primary, and requests a newer table if the sender's is newer than this member's.
 Shard* Replica::shard_of_primary(const Name& from, ShardId shard_id, TableVersion since,
                                  MessageNumber number) {
     if (shard_id.value >= table_.shards.size() ||
@@ -54,7 +55,7 @@
     }
     const ReplicaSet& replica_set = table_.shards[shard_id.value];
     const auto it = shards_.find(shard_id);
-    // A primary that was deposed, and does not know it, may not go on beside its successor.
+    // A primary that does not know yet that it was deposed must not go on beside its successor.
     if (since < replica_set.since_table || it == shards_.end() || replica_set.replicas.empty() ||
         from != replica_set.primary()) {
         host_->refuse(from, number, table_.version);
@@ -80,7 +81,7 @@
     local_writes_.acknowledge_when_stored(*host_, from, number);
 }
 
-// Only in memory: after a restart the age of an attempt is not known anyway.
+// Changes the record in memory only: after a restart the ages of attempts are unknown anyway.
 void Replica::receive_delay(const Name& from, ShardId shard_id, const Key& key,
                             MessageNumber number, Seconds delay) {
     const auto shard = shards_.find(shard_id);
--- a/src/replication/replica_catch_up.cpp
+++ b/src/replication/replica_catch_up.cpp
@@ -1,5 +1,5 @@
-// Replica as the primary of a shard: anti-entropy. Compares digests with each replica and sends
-// what it lacks.
+// Replica as the primary of a shard: anti-entropy. Compares digests with each other member and
+// sends it the records that it lacks.
 
 #include <utility>
 
@@ -8,7 +8,7 @@
 
 namespace tideline::replication {
 
-// Compares when it is time, and goes on sending to the members that catch up.
+// Starts the comparisons that are due, and continues to send records to members that catch up.
 void Replica::compare_and_repair_peers(Seconds now, ShardId shard_id, Shard& shard) {
     if (shard.open && now >= shard.next_comparison_at) {
         shard.next_comparison_at = now + settings_.comparison_interval;
@@ -34,9 +34,9 @@
     }
 }
 
-// A member that catches up and stops acknowledging would hold up all writes. It is no replica yet:
-// after the lag limit the operation does not wait for it any more, and it has to catch up on the
-// key.
+// A member that stops acknowledging while it catches up would block all writes. It is not a replica
+// yet, so after the lag limit operations no longer wait for it, and it has to catch up on their
+// keys.
 void Replica::stop_waiting_for_lagging_peers(Seconds now, ShardId shard_id, Shard& shard) {
     for (auto& [number, operation] : operations_.all()) {
         if (operation.shard_id != shard_id || operation.is_repair) {
@@ -55,7 +55,7 @@
     }
 }
 
-// Sends the digests of the shard, in place of a comparison that was not answered.
+// Sends the digests of the shard to a member. Replaces a comparison that was not answered.
 void Replica::start_comparison(Seconds now, ShardId shard_id, Shard& shard, const Name& name) {
     Peer& peer = shard.peers[name];
     peer.pending_comparison = sent_messages_.add({0, name, now, true, shard_id});
@@ -94,9 +94,10 @@
     send_repairs(now, shard_id, shard, from);
 }
 
-// A newer version elsewhere is a write of an earlier primary that was never acknowledged. It would
-// come back with a later primary, so this primary's version is written over it; the keys are added
-// to `keys`. Returns whether a write of such a key is under way: compare again.
+// A newer version at a backup is a write of an earlier primary that was never acknowledged. It
+// would reappear if that backup became the primary, so it is overwritten with this primary's
+// version; the keys concerned are added to `keys`. Returns whether such a key has a write in
+// progress, in which case the shard has to be compared again.
 bool Replica::overwrite_newer_versions(Seconds now, ShardId shard_id, Shard& shard,
                                        const std::vector<KeyVersion>& key_versions,
                                        std::vector<Key>& keys) {
@@ -122,8 +123,9 @@
     return again;
 }
 
-// Sends the member what it lacks, as far as the window allows; to one that is no replica yet also
-// as far as the allowance does. It has caught up once it has acknowledged all.
+// Sends a member the records that it lacks, as far as the repair window permits. If it is not a
+// replica yet, the repair allowance limits the rate too. The member has caught up once it has
+// acknowledged all of them.
 void Replica::send_repairs(Seconds now, ShardId shard_id, Shard& shard, const Name& name) {
     Peer& peer = shard.peers.at(name);
     const bool paced = !shard.replica_set.has_replica(name);
--- a/src/replication/replica_expiry.cpp
+++ b/src/replication/replica_expiry.cpp
@@ -1,4 +1,4 @@
-// Replica: drops records that have expired, or that are not held any more.
+// Replica: drops records that have expired or that this member no longer holds.
 
 #include "replication/replica.hpp"
 #include "replication/replica_limits.hpp"
@@ -22,7 +22,7 @@
     local_writes_.store_removal(*host_, shard_id, dropped);
 }
 
-// Not while an operation is under way on the key: it would have no record to send.
+// Keeps a record while an operation on its key is in progress, because the operation may resend it.
 void Replica::drop_expired_records(Seconds now) {
     if (now < expiry_checked_at_ + kExpiryInterval) {
         return;
--- a/src/replication/replica_limits.hpp
+++ b/src/replication/replica_limits.hpp
@@ -1,4 +1,4 @@
-// Limits and sizes that the parts of Replica share.
+// Limits and sizes shared by the source files of Replica.
 #pragma once
 
 #include <limits>
@@ -7,19 +7,20 @@
 
 namespace tideline::replication {
 
-// The longest delay of a message in seconds. An age is counted from the arrival of its message, so
-// with a delayed message an attempt would look later than it was: receivers put its time back by
-// this much, and an acknowledgement that took longer counts as none.
+// Longest assumed delay of a message. Messages carry ages, and the receiver counts them from the
+// arrival of the message, so a delayed message makes an attempt look younger than it is. Receivers
+// therefore move the send time back by this much, and an acknowledgement that took longer is
+// ignored.
 inline constexpr Seconds kMaxMessageDelay = 5;
-// In seconds. Members drop the same record at about the same time: what expires within this is
-// marked as expiring, and its absence elsewhere means nothing.
+// Largest difference between the times at which members drop the same record. A record that expires
+// within this time is marked as expiring: another member may have dropped it already.
 inline constexpr Seconds kMaxExpirySkew = 5;
-inline constexpr Seconds kExpiryInterval = 1;  // seconds between two looks for expired records
-// Seconds of the repair rate that may be saved.
+inline constexpr Seconds kExpiryInterval = 1;  // between two scans for expired records
+// Unused repair rate accumulates over at most this time.
 inline constexpr double kRepairAllowanceWindowSeconds = 0.25;
 inline constexpr Seconds kNever = std::numeric_limits<double>::infinity();
 
-// About how many bytes a record takes in memory and on the wire.
+// Estimates the size of a record in memory and on the wire, in bytes.
 inline std::size_t size_of(const Record& record) {
     constexpr std::size_t kRecordBytes = 96;
     constexpr std::size_t kAttemptBytes = 64;
--- a/src/replication/replica_metadata.hpp
+++ b/src/replication/replica_metadata.hpp
@@ -1,5 +1,5 @@
-// The file of a member's records, and what it says of the member itself: single values by name,
-// each with a checksum. Header-only: it belongs to the store, which does I/O.
+// Location of a member's replica file, and the member's metadata in it: named values, each with a
+// checksum. Header-only, because it is part of the replica store, which does I/O.
 #pragma once
 
 #include <fmt/format.h>
@@ -15,7 +15,8 @@
 
 inline constexpr const char* kReplicaFileName = "held.db";
 
-// Renames the damaged database, and removes the files beside it.
+// Renames the damaged database file and removes SQLite's journal files, so that a new database can
+// be created in its place.
 inline void move_aside_replica_file(const std::string& folder) {
     const std::string path = folder + "/" + kReplicaFileName;
     int number = 1;
@@ -28,12 +29,12 @@
     }
 }
 
-// Values of the table `kept`. The database outlives this.
+// Reads and writes the values in the table `kept`. The database has to outlive this object.
 class ReplicaMetadata {
   public:
     explicit ReplicaMetadata(const storage::SqliteDatabase& database) : database_(database) {}
-    // Nothing where the value is missing. Throws storage::DamagedFileError where it was altered:
-    // an altered value may not pass for one that was never stored.
+    // Returns nullopt if the value is missing. Throws storage::DamagedFileError if its checksum
+    // does not match: an altered value must not be mistaken for one that was never stored.
     std::optional<std::string> get(const char* name) const {
         Statement row(database_, "SELECT bytes, sum FROM kept WHERE key = ?");
         row.with(1, std::string(name));
@@ -47,7 +48,7 @@
         }
         return bytes;
     }
-    // Throws storage::DamagedFileError where it is missing or altered.
+    // Throws storage::DamagedFileError if the value is missing or altered.
     std::string required(const char* name) const {
         std::optional<std::string> bytes = get(name);
         if (!bytes) {
@@ -56,7 +57,7 @@
         }
         return std::move(*bytes);
     }
-    // Belongs into a transaction of the caller.
+    // Has to be called within a transaction.
     void set(const char* name, const std::string& bytes) const {
         Statement(database_, "INSERT OR REPLACE INTO kept (key, bytes, sum) VALUES (?, ?, ?)")
             .with(1, std::string(name))
--- a/src/replication/replica_operations.cpp
+++ b/src/replication/replica_operations.cpp
@@ -1,4 +1,5 @@
-// Replica as the primary of a shard: operations that wait for the acknowledgements of the replicas.
+// Replica as the primary of a shard: operations, which wait for the acknowledgements of the
+// replicas.
 
 #include <utility>
 
@@ -12,7 +13,8 @@
     shard.records.insert_or_assign(record.key, record);
 }
 
-// Stores the record under a new version, and replicates it. Without a claimant nobody is answered.
+// Stores the record under a new version and replicates it. Replies to the claimant, if there is
+// one.
 void Replica::write(Seconds now, ShardId shard_id, Shard& shard, Record record,
                     std::optional<ReplyTarget> claimant, Reply reply) {
     record.version = {shard.replica_set.since_table, ++last_step_};
@@ -28,8 +30,8 @@
     begin_operation(now, shard, std::move(operation));
 }
 
-// Reads, too, are confirmed by the replicas: a primary that was deposed, and does not know it yet,
-// would answer with an older state.
+// Replies with the present record once the replicas have confirmed this primary. Reads need this
+// too: a primary that does not know yet that it was deposed would reply with an outdated record.
 void Replica::confirm_record(Seconds now, ShardId shard_id, Shard& shard,
                              const ClaimantRequest& request, Reply reply) {
     Operation operation;
@@ -43,10 +45,10 @@
 void Replica::begin_operation(Seconds now, Shard& shard, Operation operation) {
     const OperationNumber number = operations_.next_number();
     if (!operation.is_repair) {
-        // With the version of the table that this is based on.
+        // The last write includes the version of the table that this operation is based on.
         operation.local_write = local_writes_.last_write();
         shard.active_operations[operation.key] = number;
-        // A member that has not caught up is sent the key after the rest.
+        // A member that has not caught up gets the key after the other keys that it lacks.
         for (auto& [name, peer] : shard.peers) {
             if (peer.writes_wait || peer.caught_up) {
                 operation.awaited[name] = now;
@@ -78,7 +80,7 @@
     }
 }
 
-// Ends the operation, if it waits for nothing any more, and goes on with what waited for it.
+// Ends the operation if it waits for nothing any more, and serves the requests queued behind it.
 void Replica::finish_operation(Seconds now, OperationNumber number) {
     Operation* const found = operations_.find(number);
     if (!found || !PendingOperations::is_ready(*found, local_writes_)) {
@@ -126,8 +128,9 @@
     finish_operation(now, message.operation);
 }
 
-// The member counts the ages of attempts from the arrival of the message. Once it knows how long
-// that took at most, it need not assume the longest delay. Nothing waits for this.
+// Tells a member an upper bound for the delay of the acknowledged message. The member counts the
+// ages of attempts from the arrival of that message, and without this bound has to assume the
+// longest delay. The member does not acknowledge this message.
 void Replica::send_measured_delay(const Operation& operation, const Name& to, MessageNumber number,
                                   Seconds delay) {
     if (!operation.is_write && !operation.is_repair) {
--- a/src/replication/replica_primary.cpp
+++ b/src/replication/replica_primary.cpp
@@ -1,5 +1,5 @@
-// Replica as the primary of a shard: the requests of claimants, one write of a key at a time. The
-// rules that decide them are in claimant_request.cpp.
+// Replica as the primary of a shard: handles the requests of claimants, one write per key at a
+// time. The rules that decide a request are in claimant_request.cpp.
 
 #include <utility>
 
@@ -9,7 +9,8 @@
 namespace {
 
 constexpr std::size_t kMaxQueuedRequests =
-    256;  // requests that wait for one key; more are sent back
+    // Requests queued on one key. Further requests are answered with try_again.
+    256;
 
 ClaimantRequest request_of(ClaimantRequest::Kind kind, const Name& from, RequestNumber number,
                            const Key& key) {
@@ -28,7 +29,8 @@
                     std::optional<Version> known_version) {
     ClaimantRequest request = request_of(ClaimantRequest::Kind::claim, from, number, key);
     request.attempt = attempt;
-    request.attempt.sent_at = now;  // it goes out after it was granted, so not before this
+    // The attempt is sent only after the claim is granted, so not before now.
+    request.attempt.sent_at = now;
     request.attempt.outcome = AttemptOutcome::in_flight;
     request.known_version = known_version;
     request.content = content;
@@ -54,7 +56,7 @@
     handle_request(now, request_of(ClaimantRequest::Kind::read, from, number, key));
 }
 
-// Serves a request at once, or queues it behind the operation under way on its key.
+// Serves a request at once, or queues it behind the operation in progress on its key.
 void Replica::handle_request(Seconds now, ClaimantRequest request) {
     const auto reply_with = [&](Reply reply) {
         host_->reply(request.from, request.number, reply, table_.version, nullptr);
@@ -81,7 +83,7 @@
     queue.push_back(std::move(request));
 }
 
-// No operation is under way on the request's key.
+// Serves a request. No operation may be in progress on its key.
 void Replica::serve_request(Seconds now, ShardId shard_id, Shard& shard,
                             const ClaimantRequest& request) {
     const auto held = shard.records.find(request.key);
@@ -103,7 +105,7 @@
     }
 }
 
-// Serves the requests that wait for the key, until one of them begins an operation.
+// Serves the requests queued on the key until one of them begins an operation.
 void Replica::serve_queued_requests(Seconds now, ShardId shard_id, const Key& key) {
     while (true) {
         const auto shard = shards_.find(shard_id);
--- a/src/replication/replica_set_planner.cpp
+++ b/src/replication/replica_set_planner.cpp
@@ -51,8 +51,8 @@
     return candidates;
 }
 
-// Plans one replica set of `next`. Where a member of its ideal set does not hold the shard, and
-// none is catching up, that is added to `missing`.
+// Plans one replica set of `next`. Adds the shard to `missing` if a member of its ideal replica set
+// does not hold it and no member is catching up.
 void ReplicaSetPlanner::plan_replica_set(ShardId shard_id, ReplicaTable& next,
                                          const Candidates& candidates,
                                          std::vector<MissingReplica>& missing) const {
@@ -90,8 +90,8 @@
     }
 }
 
-// Makes replicas of the members that hold all of the shard by the report of its primary, whose
-// writes wait for them since that report.
+// Promotes members to replicas that have caught up according to the primary. The primary's writes
+// have been waiting for them since it reported that.
 void ReplicaSetPlanner::promote_caught_up(ShardId shard_id, ReplicaSet& replica_set) const {
     for (const Name& name : std::vector<Name>(replica_set.catching_up)) {
         if (primary_reports_.is_caught_up(shard_id, name) && !is_unavailable(shard_id, name)) {
@@ -101,8 +101,8 @@
     }
 }
 
-// All replicas are lost for certain: the healthy members of the ideal set begin with no records,
-// and the table records the data loss. Changes nothing while none is healthy.
+// Handles the loss of all replicas: the healthy members of the ideal set start without records, and
+// the table records the data loss. Changes nothing while none of them is healthy.
 void ReplicaSetPlanner::replace_lost_replicas(ReplicaSet& replica_set,
                                               const std::vector<Name>& ideal,
                                               TableVersion next_version) const {
@@ -119,10 +119,9 @@
     }
 }
 
-// Keeps only the replicas within reach (`available`), where they are enough; else all that may
-// still hold the records (`kept`): a replica that is only out of reach has all that was
-// acknowledged, and the one within reach may be lost next. A primary out of reach gives way to a
-// replica that is confirmed.
+// Keeps only the available replicas if they are at least the minimum, otherwise all that may still
+// have the records (`kept`): a replica that is merely unreachable has every acknowledged write, and
+// the reachable one may be lost next. An unavailable primary is replaced by a confirmed replica.
 void ReplicaSetPlanner::choose_replicas(ShardId shard_id, ReplicaSet& replica_set,
                                         const std::vector<Name>& available,
                                         const std::vector<Name>& kept) const {
@@ -139,7 +138,7 @@
     }
 }
 
-// The records that were lost have expired, as the primary reports: the shard is like any other.
+// Clears the data loss once the primary reports that the lost records have expired.
 void ReplicaSetPlanner::clear_ended_data_loss(ShardId shard_id, ReplicaSet& replica_set) const {
     if (replica_set.data_lost_in > TableVersion{} && primary_reports_.is_data_loss_over(shard_id) &&
         replica_set.data_lost_in == table_.shards[shard_id.value].data_lost_in) {
@@ -147,8 +146,9 @@
     }
 }
 
-// All members of the ideal set are replicas: drops the others, and makes its first member the
-// primary. Drops nothing while the ideal set is too small, as few members may be known yet.
+// Handles a shard of which all members of the ideal set are replicas: drops the other replicas and
+// makes the first member of the ideal set the primary. Drops nothing while the ideal set is too
+// small, because not all members may be known yet.
 void ReplicaSetPlanner::reduce_to_ideal(ShardId shard_id, ReplicaSet& replica_set,
                                         const std::vector<Name>& ideal) const {
     if (ideal.size() >= settings_.replicas && replica_set.replicas.size() > settings_.replicas) {
@@ -165,8 +165,8 @@
     }
 }
 
-// Lets members catch up, the shards with the fewest replicas within reach first, no more shards at
-// once than the settings allow.
+// Lets members start to catch up, beginning with the shards that have the fewest available
+// replicas. The settings limit the number of shards that catch up at once.
 void ReplicaSetPlanner::start_moves(ReplicaTable& next, std::vector<MissingReplica> missing) const {
     std::size_t catching_up = 0;
     for (const ReplicaSet& replica_set : table_.shards) {
@@ -196,7 +196,7 @@
     }
 }
 
-// A replica set that changes carries the version of the table that changed it.
+// Sets the version of each changed replica set to that of the new table.
 void ReplicaSetPlanner::set_changed_versions(ReplicaTable& next) const {
     for (std::size_t i = 0; i < next.shards.size(); ++i) {
         ReplicaSet& after = next.shards[i];
@@ -208,8 +208,8 @@
     }
 }
 
-// Records the disk of each member that is present and on whose former disk no shard depends. A
-// shard that lost its data in this table depends on no former disk.
+// Records the disk of each present member if no shard depends on the member's former disk. A shard
+// that loses its data in this table depends on no former disk.
 void ReplicaSetPlanner::adopt_disks(ReplicaTable& next) const {
     for (const auto& [name, member] : member_health_.members()) {
         if (!member.report || !member.present) {
@@ -227,7 +227,8 @@
     }
 }
 
-// Waits until the members have had time to report, and enough of them are healthy.
+// Assigns all shards for the first time, once the members have had time to report and enough of
+// them are healthy.
 void ReplicaSetPlanner::place_first_table(ReplicaTable& table) const {
     std::map<Name, Place> places;
     for (const auto& [name, member] : member_health_.members()) {
--- a/src/replication/replica_set_planner.hpp
+++ b/src/replication/replica_set_planner.hpp
@@ -1,4 +1,4 @@
-// Plans the next table of replica sets from the present one and from what is known of the members.
+// Plans the next table of replica sets from the present table and the state of the members.
 #pragma once
 
 #include <map>
@@ -11,11 +11,12 @@
 
 namespace tideline::replication {
 
-// Computes one table at one time; has no state of its own, and changes none of its inputs, which
-// have to outlive it. The same inputs give the same table. One thread; no I/O, no clock.
+// Computes one table for one point in time. It has no state of its own and does not change its
+// inputs, which have to outlive it. The same inputs give the same table. Single-threaded; neither
+// does I/O nor reads a clock.
 class ReplicaSetPlanner {
   public:
-    // `table` is the newest; `now` is in seconds.
+    // `table` is the newest table; `now` is in seconds.
     ReplicaSetPlanner(const RepairSettings& settings, const ReplicaTable& table,
                       const MemberHealth& member_health, const PrimaryReports& primary_reports,
                       Seconds now);
@@ -23,20 +24,20 @@
     ReplicaSetPlanner& operator=(const ReplicaSetPlanner&) = delete;
     ~ReplicaSetPlanner() = default;
 
-    // The table that should follow, under the next version. It equals the present one, but for the
-    // version, where nothing is to change; it has no shards while too few members are known for a
-    // first table.
+    // Returns the table that should follow, with the next version. If nothing has to change, it
+    // differs from the present table only in its version. It has no shards while too few members
+    // are known for a first table.
     ReplicaTable next_table() const;
 
   private:
     // Members that may hold replicas, with their places.
     struct Candidates {
-        std::map<Name, Place> eligible;  // present, or absent for less than the limit
+        std::map<Name, Place> eligible;  // present, or absent for less than the absence limit
         std::map<Name, Place> healthy;   // present, with a recent report
     };
-    // A shard that a member of its ideal replica set does not hold.
+    // A shard that lacks a replica on a member of its ideal replica set.
     struct MissingReplica {
-        std::size_t available = 0;  // replicas within reach
+        std::size_t available = 0;  // number of available replicas
         ShardId shard_id;
         std::vector<Name> ideal;
     };
--- a/src/replication/replica_shard.hpp
+++ b/src/replication/replica_shard.hpp
@@ -1,4 +1,4 @@
-// One shard, as one member holds it.
+// State of one shard at one member.
 #pragma once
 
 #include <deque>
@@ -13,59 +13,64 @@
 
 namespace tideline::replication {
 
-// Another member of a shard, as the primary sees it.
+// State of another member of the shard, as known to the primary.
 struct Peer {
-    // It has acknowledged all that was to be sent. It is sent each write at once then.
+    // The member has acknowledged every record that it lacked; from then on each write is sent to
+    // it at once.
     bool caught_up = false;
-    // A replica, or reported as caught up: a write is not acknowledged without it.
+    // The member is a replica or was reported as caught up: writes are acknowledged only after it
+    // has stored them.
     bool writes_wait = false;
-    // Message of a comparison under way; 0: none.
+    // Number of the digests message that the member has not answered; 0: none.
     MessageNumber pending_comparison;
-    // When the comparison was sent.
+    // When the digests were sent.
     Seconds comparison_sent_at = 0;
-    // Keys that it lacks, in the order in which they are sent.
+    // Keys of the records that the member lacks, in the order in which they are sent.
     std::deque<Key> to_send;
-    // Repairs that it has not acknowledged; at most ReplicaSettings::repair_window.
+    // Repair operations that the member has not acknowledged; at most
+    // ReplicaSettings::repair_window.
     std::set<OperationNumber> repairs;
 };
 
-// A record that came from a primary which has not said yet how long its message took.
+// A record from a primary that has not yet stated the delay of its message.
 struct ReceivedRecord {
     Name from;
     MessageNumber number;
     Version version;
-    // Of each attempt of the record: when it was sent, if the message took no time.
+    // Send time of each attempt of the record, assuming that the message had no delay.
     std::vector<Seconds> sent_at;
 };
 
 struct Shard {
-    // Of the table that was applied last.
+    // From the table that was applied last.
     ReplicaSet replica_set;
     Records records;
-    // A row was found altered on the disk: nothing is served or acknowledged until it is replaced.
+    // A row was found altered on the disk. The shard serves and acknowledges nothing until its
+    // records are replaced.
     bool corrupt = false;
-    // By key; each is of a record in `records`.
+    // By key; each belongs to a record in `records`.
     std::map<Key, ReceivedRecord> received_records;
-    // Read from the disk, and not assigned by a table since.
+    // The shard was read from the disk, and no table has been applied to it since.
     bool restored = false;
-    // A key that is absent may have been lost with all replicas until then.
+    // Until this time a missing record may be one that was lost with all replicas.
     Seconds data_lost_until = 0;
 
-    // The rest is used as the primary only.
-    // All replicas have caught up under this replica set: requests are served.
+    // The following members are used only while this member is the primary.
+    //
+    // All replicas have caught up under this replica set, so requests are served.
     bool open = false;
     Seconds next_comparison_at = 0;
-    // All other members of the replica set, also those that catch up.
+    // All other members of the replica set, including those that catch up.
     std::map<Name, Peer> peers;
-    // The operation under way on a key: at most one.
+    // The operation in progress on each key.
     std::map<Key, OperationNumber> active_operations;
-    // Requests that wait for the operation on their key; never empty.
+    // Requests that wait for the operation on their key. No queue is empty.
     std::map<Key, std::deque<ClaimantRequest>> queued_requests;
 
     bool has_primary(const Name& name) const {
         return !corrupt && !replica_set.replicas.empty() && replica_set.primary() == name;
     }
-    // Opens the shard once no member for which writes wait has to catch up.
+    // Opens the shard if every member that writes wait for has caught up.
     void open_if_caught_up();
 };
 
--- a/src/replication/replica_status.cpp
+++ b/src/replication/replica_status.cpp
@@ -1,4 +1,4 @@
-// Replica: reports to the repair coordinator, and queries of operators and tests.
+// Replica: the report to the repair coordinator, and queries of operators and tests.
 
 #include <fmt/format.h>
 
--- a/src/replication/replica_store.cpp
+++ b/src/replication/replica_store.cpp
@@ -24,8 +24,8 @@
     try {
         open(folder, name, new_disk_id);
     } catch (const storage::DamagedFileError& error) {
-        // What is left of a damaged database may not be counted as held: it begins anew, as
-        // another disk.
+        // The contents of a damaged database can't be trusted. The member starts with an empty file
+        // under a new disk number, so its replicas count as lost and it catches up.
         database_.reset();
         found_ = {};
         checksums_.clear();
@@ -116,8 +116,8 @@
     }
 }
 
-// A row that is missing, or that was moved to another shard, leaves no trace of itself: it is found
-// by the digest of its shard.
+// Finds rows that are missing or that were moved to another shard. Their own checksums can't reveal
+// this, but the digest of the shard does.
 void ReplicaStore::check_digests() {
     std::set<ShardId> checked;
     Statement sums(*database_, "SELECT slot, digest, count FROM sums");
@@ -184,12 +184,12 @@
 }
 void ReplicaStore::notify_owner() const {
     const std::uint64_t one = 1;
-    // The counter can't be full: it is read by whoever waits.
+    // The eventfd counter can't overflow, because its reader resets it.
     [[maybe_unused]] const auto written = ::write(ready_descriptor_, &one, sizeof one);
 }
 
-// The writer thread: writes all tasks that came meanwhile in one transaction, until the end or a
-// failure.
+// Runs the writer thread: writes all queued tasks in one transaction, until the store is closed or
+// a write fails.
 void ReplicaStore::run_writer() {
     while (true) {
         std::deque<Task> tasks;
@@ -210,7 +210,7 @@
         try {
             write(tasks);
         } catch (const std::exception& error) {
-            // After an fsync that failed it is unknown what is on the disk. Nothing more is
+            // After a failed fsync the contents of the disk are unknown, so nothing more is
             // written.
             failed = error.what();
         }
@@ -246,7 +246,7 @@
     }
 }
 
-// All tasks in one transaction, with the digests of the shards that they touch.
+// Executes all tasks in one transaction, with the digests of the shards that they change.
 void ReplicaStore::write_rows(const std::deque<Task>& tasks) {
     std::set<ShardId> changed_shards;
     database_->run("BEGIN EXCLUSIVE");
@@ -317,7 +317,7 @@
 }
 
 bool ReplicaStore::is_intact_on_disk(ShardId shard_id) {
-    // Without this the pages in memory would be read, not those on the disk.
+    // Otherwise SQLite would read its cached pages instead of the disk.
     database_->forget_pages();
     const ShardChecksums& expected = checksums_[shard_id];
     std::size_t count = 0;
--- a/src/replication/replica_store.hpp
+++ b/src/replication/replica_store.hpp
@@ -1,9 +1,9 @@
-// The records of a member on its disk: one SQLite file. A writer thread of its own keeps a slow
-// disk from blocking the event loop; all tasks that come during a transaction go into the next one.
-// Each row has a checksum, and each shard a digest of them, by which altered, missing and moved
-// rows are found. All public calls belong to the event loop's thread. Stored names are older than
-// the names here: the table `held` has the records, `sums` the digests, `kept` the values of the
-// member; their column `slot` is the ShardId.
+// Stores the records of a member on its disk, in one SQLite file. A separate writer thread keeps a
+// slow disk from blocking the event loop; tasks that arrive during a transaction are grouped into
+// the next one. Each row has a checksum, and each shard a digest of its checksums, which reveal
+// rows that were altered, removed or moved. All public functions have to be called on the event
+// loop's thread. The stored names are older than the names in the code: the table `held` contains
+// the records, `sums` the digests, and `kept` the metadata; their column `slot` is the ShardId.
 #pragma once
 
 #include <atomic>
@@ -23,22 +23,22 @@
 namespace tideline::replication {
 
 struct ReplicaStoreSettings {
-    // Times to live of records and of bytes, as in ReplicaSettings.
+    // Times to live of records and of stored bytes, as in ReplicaSettings.
     Seconds keep = 120;
     Seconds keep_bytes = 86400;
     storage::JournalMode journal_mode = storage::JournalMode::rollback;
-    // False: a transaction for each task, for measurements.
+    // If false, each task has a transaction of its own. For measurements.
     bool grouped = true;
 };
 
 class ReplicaStore {
   public:
-    // Opens the file in the folder, or creates it as `new_disk_id`. A damaged file is moved aside,
-    // and a new one created. Throws std::runtime_error where the folder can't be used, or the file
-    // is of another member.
+    // Opens the file in the folder, or creates it with the disk number `new_disk_id`. Moves a
+    // damaged file aside and creates a new one. Throws std::runtime_error if the folder can't be
+    // used or if the file belongs to another member.
     ReplicaStore(const std::string& folder, const Name& name, std::uint64_t new_disk_id,
                  const ReplicaStoreSettings& settings);
-    // Writes all tasks first.
+    // Completes all queued tasks.
     ~ReplicaStore();
     ReplicaStore(const ReplicaStore&) = delete;
     ReplicaStore& operator=(const ReplicaStore&) = delete;
@@ -46,35 +46,35 @@
     const Disk& disk() const {
         return disk_;
     }
-    // A line on the file that was moved aside; empty: none was.
+    // Log line about the file that was moved aside; empty if none was.
     const std::string& load_fault() const {
         return load_fault_;
     }
-    // What the disk held when it was opened. To be called once.
+    // Returns the contents of the disk when it was opened. Has to be called only once.
     StoredState take_found() {
         return std::move(found_);
     }
 
-    // Tasks, written in the order of the calls.
+    // These functions queue tasks, which are executed in the order of the calls.
     void put(WriteNumber number, ShardId shard_id, const Record& record, Seconds now);
     void drop(WriteNumber number, ShardId shard_id, std::vector<Key> keys);
     void clear(WriteNumber number, ShardId shard_id);
     void number(WriteNumber number, TableVersion version);
-    // Reads the shard back, after the tasks before.
+    // Verifies the stored rows of the shard after the earlier tasks.
     void scrub(ShardId shard_id);
 
-    // A descriptor, readable once take_done has something new; owned by this.
+    // A file descriptor that is readable when take_done() has news. It is owned by the store.
     int ready() const {
         return ready_descriptor_;
     }
     struct Done {
-        WriteNumber up_to;             // the disk has this write and all before it
-        std::string failed;            // why nothing more is written; empty: no failure
-        std::vector<ShardId> corrupt;  // found by scrubbing
+        WriteNumber up_to;             // the disk has completed this write and all earlier ones
+        std::string failed;            // error after which nothing more is written; empty: none
+        std::vector<ShardId> corrupt;  // shards found corrupt by scrubbing
     };
-    // What was done since the last call. `up_to` and `failed` are repeated.
+    // Returns the progress since the last call. `up_to` and `failed` are repeated by each call.
     Done take_done();
-    // For measurements.
+    // Counters for measurements.
     std::uint64_t commits() const {
         return commits_;
     }
@@ -110,12 +110,12 @@
     void notify_owner() const;
 
     const ReplicaStoreSettings settings_;
-    // Of the constructor, then of the writer thread.
+    // Used by the constructor, then only by the writer thread.
     std::unique_ptr<storage::SqliteDatabase> database_;
     Disk disk_;
     std::string load_fault_;
     StoredState found_;
-    // Of the rows on the disk. Of the constructor, then of the writer thread.
+    // Checksums of the rows on the disk. Used by the constructor, then only by the writer thread.
     std::map<ShardId, ShardChecksums> checksums_;
     int ready_descriptor_ = -1;
     // Guards `tasks_`, `done_` and `stopping_`.
--- a/src/replication/replica_table.cpp
+++ b/src/replication/replica_table.cpp
@@ -1,4 +1,4 @@
-// Replica: what a new table of replica sets changes on this member.
+// Replica: applies a new table of replica sets.
 
 #include <fmt/format.h>
 
@@ -9,8 +9,8 @@
 namespace tideline::replication {
 
 void Replica::apply_table(Seconds now, const ReplicaTable& table) {
-    // A planner that lags, asked after a restart, may not bring back primaries that were deposed:
-    // no table older than one that was acted on is taken.
+    // A planner that lags behind may answer the request for a table after a restart. A table older
+    // than the newest one that was applied must not reinstate a deposed primary.
     if (table.version < newest_table_ || table.version <= table_.version) {
         return;
     }
@@ -29,8 +29,8 @@
     schedule_tick(now + settings_.resend_interval);
 }
 
-// Drops all shards that the table does not place on this disk. `own_disk`: this disk is the one on
-// which the table counts this member's replicas.
+// Drops all shards that the table does not assign to this disk. `own_disk`: the table counts this
+// member's replicas on this disk.
 void Replica::drop_unassigned_shards(bool own_disk) {
     const bool beyond_table =
         !shards_.empty() && shards_.rbegin()->first.value >= table_.shards.size();
@@ -60,18 +60,19 @@
     local_writes_.store_shard_removal(*host_, shard_id);
 }
 
-// Takes on the shard's replica set of a new table.
+// Applies the replica set that a new table assigns to the shard.
 void Replica::assign_shard(Seconds now, ShardId shard_id, const ReplicaSet& replica_set) {
     Shard& shard = shards_[shard_id];
     const ReplicaSet before = std::exchange(shard.replica_set, replica_set);
-    // Before it was restarted this primary may have reported a member as caught up, which is then
-    // made a replica. So writes wait for all that catch up, until the replica set changes.
+    // Before a restart this primary may have reported a member as caught up, and the next table may
+    // make that member a replica. Writes therefore wait for all members that catch up until the
+    // replica set changes.
     const bool anew = std::exchange(shard.restored, false) || before.since_table == TableVersion{};
     const bool was_primary = !before.replicas.empty() && before.primary() == self_;
     if (replica_set.since_table == before.since_table) {
         return;
     }
-    // Whoever catches up, or begins a shard that was lost, holds nothing that can be wrong.
+    // A member that catches up or that starts a lost shard anew needs none of its old records.
     if (shard.corrupt &&
         (replica_set.is_catching_up(self_) || replica_set.data_lost_in > before.data_lost_in)) {
         clear_shard(shard_id, shard);
@@ -81,7 +82,7 @@
     });
     shard.open = false;
     shard.peers.clear();
-    // Set on backups too: one that becomes the primary later has to know it.
+    // This is set on backups too, because one that becomes the primary later has to know it.
     if (replica_set.data_lost_in > TableVersion{} &&
         replica_set.data_lost_in != before.data_lost_in) {
         shard.data_lost_until = now + settings_.time_to_live;
@@ -94,9 +95,9 @@
     }
 }
 
-// Serves as the primary under a new replica set: sends the operations under way to its replicas,
-// and compares with each member. `anew`: this process was not the primary before, and members that
-// catch up may have been reported as caught up.
+// Starts to serve as the primary under a new replica set: sends the operations in progress to its
+// replicas and compares the shard with each member. `anew`: this process was not the primary
+// before, so members that catch up may have been reported as caught up.
 void Replica::become_primary(Seconds now, ShardId shard_id, Shard& shard, bool anew) {
     const ReplicaSet& replica_set = shard.replica_set;
     redirect_operations(now, shard_id, shard);
@@ -118,9 +119,9 @@
     finish_operations(now, ready);
 }
 
-// Sends the operations under way to all replicas of the new set. With fewer replicas than the least
-// they would be acknowledged by those that are left: they are sent back, to be asked for again once
-// there are enough.
+// Sends the operations in progress to all replicas of the new set. If there are fewer replicas than
+// the minimum, the operations are answered with try_again instead, because the remaining replicas
+// alone must not acknowledge them; the claimants send their requests again.
 void Replica::redirect_operations(Seconds now, ShardId shard_id, Shard& shard) {
     const ReplicaSet& replica_set = shard.replica_set;
     const bool too_few = replica_set.replicas.size() < table_.min_replicas;
@@ -151,7 +152,7 @@
     }
 }
 
-// Ends all that is under way as the primary of the shard.
+// Aborts all operations and queued requests that this member handles as the primary of the shard.
 void Replica::abort_operations(ShardId shard_id, Shard& shard) {
     PendingOperations::Map& operations = operations_.all();
     for (auto it = operations.begin(); it != operations.end();) {
--- a/src/replication/sent_messages.hpp
+++ b/src/replication/sent_messages.hpp
@@ -1,4 +1,4 @@
-// Messages of a primary to other members that may still be answered.
+// Messages of a primary to other members whose answers still count.
 #pragma once
 
 #include <cstdint>
@@ -10,29 +10,30 @@
 namespace tideline::replication {
 
 struct SentMessage {
-    // Of a record; 0 with a comparison.
+    // Operation whose record was sent; 0 for a comparison.
     OperationNumber operation = 0;
     Name to;
     Seconds sent_at = 0;
-    // Digests of a shard, to be answered with the differences; otherwise a record, to be
-    // acknowledged.
+    // True if the message contains the digests of a shard and is answered with the differences.
+    // Otherwise it contains a record and is answered with an acknowledgement.
     bool is_comparison = false;
     ShardId shard_id;
 };
 
-// One thread; no I/O, no clock.
+// Single-threaded; neither does I/O nor reads a clock.
 class SentMessages {
   public:
-    // `last_number` differs with each start of each disk: a late answer to a message of a former
-    // incarnation may fit no message of this one.
+    // `last_number` has to differ for each start of each disk, so that a late answer to an earlier
+    // incarnation matches no message of this one.
     explicit SentMessages(std::uint64_t last_number) : last_number_(last_number) {}
 
     // Returns the number of the message.
     MessageNumber add(SentMessage message);
-    // Null where `from` was not sent a message of this number, or it was answered or forgotten.
+    // Returns null if no message with this number was sent to `from`, or if it was answered or
+    // forgotten.
     const SentMessage* find(const Name& from, MessageNumber number) const;
     void erase(MessageNumber number);
-    // Forgets those that were sent so long ago that no answer counts any more.
+    // Forgets messages that were sent so long ago that their answers no longer count.
     void forget_expired(Seconds now);
 
   private:
--- a/src/replication/shard_checksums.hpp
+++ b/src/replication/shard_checksums.hpp
@@ -1,5 +1,5 @@
-// Checksums of the rows of one shard, and their digest. Found by them are rows that were altered,
-// that are missing, or that were moved from another shard.
+// Checksums of the rows of one shard, and their digest. They reveal rows that were altered, that
+// are missing, or that were moved from another shard.
 #pragma once
 
 #include <algorithm>
@@ -11,11 +11,11 @@
 
 namespace tideline::replication {
 
-// The key as the bytes of its row.
+// Converts a key to the bytes that are stored in its row.
 inline std::string bytes_of(const Key& key) {
     return {reinterpret_cast<const char*>(key.value.data()), sizeof key.value};
 }
-// Of bytes of another size: the key of zeros.
+// Converts stored bytes to a key. Bytes of a wrong size give a key of zeros.
 inline Key key_of(const std::string& bytes) {
     Key key;
     if (bytes.size() == sizeof key.value) {
@@ -39,12 +39,12 @@
         digest_ ^= row->second;
         rows_.erase(row);
     }
-    // Whether the shard has this row, with this checksum.
+    // Whether the shard has a row with this key and checksum.
     bool has(const Key& key, std::int64_t checksum) const {
         const auto row = rows_.find(key);
         return row != rows_.end() && row->second == checksum;
     }
-    // Of all rows, in any order.
+    // Digest of all checksums, independent of their order.
     std::int64_t digest() const {
         return digest_;
     }
--- a/src/replication/types.hpp
+++ b/src/replication/types.hpp
@@ -1,5 +1,6 @@
-// Types of replication: which members hold which shards, and the records that they hold. A record
-// says what is known of the attempts at one request, and of its answer.
+// Types shared by the replication code: the table that assigns shards to members, and the records
+// that the members hold. A record states what is known about the attempts at one request, and the
+// answer of the endpoint once there is one.
 #pragma once
 
 #include <algorithm>
@@ -19,27 +20,28 @@
 using cluster::Name;
 using cluster::Place;
 
-// Digest of what a request is about.
+// Key of a record: a digest that identifies one request or one stored value.
 using Key = Id<struct KeyTag, std::array<std::uint64_t, 2>>;
-// A group of keys that are placed together.
+// A group of keys that share one replica set.
 using ShardId = Id<struct ShardTag, std::uint32_t>;
-// Version of the table of all shards; it only rises. 0: none.
+// Version of the replica table. It only increases; 0 means that no table is known.
 using TableVersion = Id<struct TableVersionTag, std::uint64_t>;
-// One request of a claimant to a primary.
+// Numbers the requests of one claimant to primaries.
 using RequestNumber = Id<struct RequestNumberTag, std::uint64_t>;
-// One message from a primary to a replica.
+// Numbers the messages of one primary to other members.
 using MessageNumber = Id<struct MessageNumberTag, std::uint64_t>;
-// One write to a member's disk; written in this order.
+// Numbers the writes to a member's disk, which are executed in this order.
 using WriteNumber = Id<struct WriteNumberTag, std::uint64_t>;
 
-// Orders the writes of a key. `step` rises over restarts of the primary too.
+// Version of a record, which orders the writes to a key. `step` keeps increasing when the primary
+// restarts.
 struct Version {
     TableVersion table_version;
     std::uint64_t step = 0;
     auto operator<=>(const Version&) const = default;
 };
 
-// One request of one incarnation of a sidecar.
+// Identifies the request that an attempt belongs to: one request of one incarnation of a sidecar.
 struct EffectOwner {
     Name name;
     Incarnation incarnation;
@@ -47,34 +49,38 @@
     auto operator<=>(const EffectOwner&) const = default;
 };
 
-// in_flight: it may be running. not_run: it is known never to have run.
+// in_flight: the attempt may be running. not_run: the attempt is known never to have run.
 enum class AttemptOutcome { in_flight, may_have_run, not_run, answered };
 
-// One attempt, as far as other members have to know of it.
+// The part of an attempt's state that other members need.
 struct AttemptRecord {
     EffectOwner owner;
-    int number = 0;  // of its request
+    int number = 0;  // position among the attempts at its request
     AttemptOutcome outcome = AttemptOutcome::in_flight;
-    Location location;  // of the endpoint
+    Location location;  // of the endpoint that the attempt is sent to
     Cell cell;
-    Seconds sent_at = 0;  // on the clock of this member; never later than it went out
+    // On this member's clock; never later than the time at which the attempt was sent.
+    Seconds sent_at = 0;
     bool is_attempt_of(const EffectOwner& other_owner, int other_number) const {
         return owner == other_owner && number == other_number;
     }
 };
 
-// What is replicated of one key. Without attempts and answer: no attempt is known to have gone out.
+// The replicated state of one key. A record without attempts and without an answer means that no
+// attempt is known to have been sent.
 struct Record {
     Key key;
     Version version;
     std::vector<AttemptRecord> attempts;
-    std::uint64_t content = 0;  // digest of what it is about, beyond its key
-    bool bytes_only = false;    // bytes that are only to be stored, of no request
+    // Digest of the request's content; two requests with the same key may differ in it.
+    std::uint64_t content = 0;
+    // True if the record stores bytes that belong to no request.
+    bool bytes_only = false;
     bool answered = false;
-    std::string answer;  // of the endpoint; or the bytes
-    // On the clock of this member; never earlier than its time to live ends.
+    std::string answer;  // the endpoint's answer, or the stored bytes
+    // On this member's clock; never earlier than the end of the record's time to live.
     Seconds expires_at = 0;
-    // Whether an attempt has run, may have run, or may be running.
+    // Returns whether an attempt has run, may have run, or may be running.
     bool may_have_run() const {
         for (const AttemptRecord& attempt : attempts) {
             if (attempt.outcome == AttemptOutcome::may_have_run ||
@@ -86,16 +92,18 @@
     }
 };
 
-// The members that hold one shard. The first replica is its primary, which answers requests.
+// The members that hold one shard. The first replica is the primary, which handles the requests.
 struct ReplicaSet {
-    // The table that set these members. A message under an older one is refused.
+    // Version of the table that introduced this replica set. Messages sent under an older table are
+    // refused.
     TableVersion since_table;
-    // Each has all that was acknowledged, on its disk.
+    // Each replica has every acknowledged write on its disk.
     std::vector<Name> replicas;
-    // Members that become replicas once they have all.
+    // Members that become replicas once they have caught up with the primary.
     std::vector<Name> catching_up;
-    // The table in which all replicas were lost, while that matters: a request of which there is no
-    // record may have gone out. 0: none were lost.
+    // Version of the table in which all replicas were lost, as long as the lost records could still
+    // be alive: until then, a request without a record may nevertheless have been sent. 0: no data
+    // loss.
     TableVersion data_lost_in;
     bool operator==(const ReplicaSet&) const = default;
     bool has_replica(const Name& name) const;
@@ -105,14 +113,16 @@
     }
 };
 
-// The replica sets of all shards, as the planners have agreed on them.
+// The replica sets of all shards, as agreed on by the planners.
 struct ReplicaTable {
     TableVersion version;
-    std::size_t replication_factor = 2;  // replicas of each shard
-    std::size_t min_replicas = 2;        // what is acknowledged is on the disks of so many replicas
-    // The disk of each member on which its replicas are counted; another disk of it holds nothing.
+    std::size_t replication_factor = 2;  // desired number of replicas of each shard
+    // A write is acknowledged only while the shard has at least this many replicas.
+    std::size_t min_replicas = 2;
+    // The disk that holds the replicas of each member. If the member reports another disk, its
+    // replicas are lost.
     std::map<Name, Disk> disks;
-    // Members that an operator has removed: they will not come back.
+    // Members that an operator has removed because they will not return.
     std::set<Name> removed_members;
     std::vector<ReplicaSet> shards;
     bool operator==(const ReplicaTable&) const = default;
@@ -124,18 +134,19 @@
     }
 };
 
-// What a member reports to the repair coordinator.
+// Periodic report of a member to the repair coordinator.
 struct ReplicaReport {
     Disk disk;
-    bool disk_works = true;      // its disk takes writes
-    TableVersion table_version;  // of the table that it has applied
-    // By a primary: the member has all of the shard.
+    bool disk_works = true;      // false once a write to the disk has failed
+    TableVersion table_version;  // newest table that the member has applied
+    // Sent by the primary of the shard: the member has caught up.
     std::vector<std::pair<ShardId, Name>> caught_up;
-    // By a primary: the member does not acknowledge.
+    // Sent by the primary of the shard: the member does not acknowledge messages.
     std::vector<std::pair<ShardId, Name>> lagging;
-    // By a primary: all that was lost with the shard's former replicas has expired.
+    // Sent by the primary of the shard: every record that was lost with the former replicas has
+    // expired.
     std::vector<ShardId> data_loss_over;
-    // Altered on the disk: what it held of these shards does not count.
+    // Shards of which a stored row was found altered; the member's replicas of them count as lost.
     std::vector<ShardId> corrupt;
     std::size_t records = 0;
     std::size_t bytes = 0;
@@ -144,19 +155,21 @@
     std::size_t records_to_send = 0;
 };
 
-// Ranges of a shard's keys. Only those whose digests differ are compared key by key.
+// Number of ranges into which the keys of a shard are divided for comparison. Two members compare
+// single keys only in the ranges whose digests differ.
 constexpr std::size_t kKeyRangeCount = 16;
-// One digest for each range.
+// One digest per key range.
 using Digests = std::array<std::uint64_t, kKeyRangeCount>;
 inline std::size_t range_of(const Key& key) {
     return key.value[0] % kKeyRangeCount;
 }
 
-// The version of a key at a backup.
+// The version of a key that a backup holds.
 struct KeyVersion {
     Key key;
     Version version;
-    bool expires_soon = false;  // expires soon: its absence elsewhere means nothing
+    // True if the record is about to expire: another member may have dropped it already.
+    bool expires_soon = false;
 };
 
 inline bool ReplicaSet::has_replica(const Name& name) const {
