--- a/src/replication/effect_log_settings.hpp
+++ b/src/replication/effect_log_settings.hpp
@@ -8,17 +8,17 @@
 namespace tideline::replication {
 
 struct EffectLogClientSettings {
-    Seconds claim_timeout = 0.5;    // for a claim to be replicated before its attempt is sent
-    Seconds resend_interval = 0.1;  // between two sends of a request without a reply
+    Seconds claim_timeout = 0.5;    // how long an attempt waits for its claim
+    Seconds resend_interval = 0.1;  // interval between two sends of a request without a reply
     // Interval at which the record is read while an attempt of another claimant is in flight.
     Seconds poll_interval = 0.1;
-    Seconds notification_timeout = 60;  // after which an undelivered notification is dropped
+    Seconds notification_timeout = 60;  // time after which an unconfirmed notification is dropped
     // A member about which gossip has told nothing for this long after the start counts as dead.
     Seconds unknown_member_timeout = 10;
     // Whether an attempt is sent although it was not replicated in time; otherwise its request is
     // rejected.
     bool allow_unreplicated = false;
-    Seconds retry_after = 1;  // advised to rejected clients
+    Seconds retry_after = 1;  // delay that rejected clients are advised to wait
     bool operator==(const EffectLogClientSettings&) const = default;
 };
 
--- a/src/replication/repair_coordinator.cpp
+++ b/src/replication/repair_coordinator.cpp
@@ -12,8 +12,9 @@
 
 // planning interval, as a fraction of the report interval
 constexpr double kPlanIntervalFactor = 0.25;
-constexpr Seconds kProposalRetryDelay = 0.3;  // after a failed proposal
-constexpr Seconds kProposalTimeout = 3;       // after which an unanswered proposal counts as failed
+constexpr Seconds kProposalRetryDelay = 0.3;  // delay of the next proposal after a failed one
+// time after which an unanswered proposal counts as failed
+constexpr Seconds kProposalTimeout = 3;
 
 }  // namespace
 
--- a/src/replication/repair_settings.hpp
+++ b/src/replication/repair_settings.hpp
@@ -9,12 +9,12 @@
 
 struct RepairSettings {
     std::size_t shards = 256;       // number of shards, fixed by the first table
-    std::size_t replicas = 2;       // desired replicas of each shard
-    std::size_t min_replicas = 2;   // needed to acknowledge a write; at most `replicas`
-    Seconds absence_limit = 30;     // after which an absent member is replaced
+    std::size_t replicas = 2;       // desired number of replicas of each shard
+    std::size_t min_replicas = 2;   // replicas needed to acknowledge a write; at most `replicas`
+    Seconds absence_limit = 30;     // time after which an absent member is replaced
     Seconds cooldown = 10;          // duration of an exclusion
-    Seconds report_interval = 0.5;  // between two requests for reports
-    std::size_t max_moves = 16;     // limit for shards that catch up at the same time
+    Seconds report_interval = 0.5;  // interval between two requests for reports
+    std::size_t max_moves = 16;     // most shards that catch up at the same time
     bool operator==(const RepairSettings&) const = default;
 };
 
--- a/src/replication/replica.hpp
+++ b/src/replication/replica.hpp
@@ -28,21 +28,22 @@
 
 // Settings of a replica, fixed when it is created.
 struct ReplicaSettings {
-    Seconds time_to_live = 120;          // of a record, counted from its last change
-    Seconds bytes_time_to_live = 86400;  // of a record that stores bytes only
-    Seconds resend_interval = 0.3;       // between two sends of an unacknowledged message
+    Seconds time_to_live = 120;          // time to live of a record after its last change
+    Seconds bytes_time_to_live = 86400;  // time to live of a record that stores only bytes
+    Seconds resend_interval = 0.3;       // interval between two sends of an unacknowledged message
     // A member that has not acknowledged a message for this long is reported as lagging.
     Seconds lag_limit = 1;
-    Seconds comparison_interval = 60;  // between two comparisons of a shard with its replicas
-    double repair_rate = 2e6;          // limit for members that catch up, in bytes per second
-    std::size_t repair_window = 64;    // most unacknowledged records to one member that catches up
+    Seconds comparison_interval = 60;  // interval between two comparisons of a shard
+    double repair_rate = 2e6;          // bytes per second that are sent to members that catch up
+    // Limit of the unacknowledged records to one member that catches up.
+    std::size_t repair_window = 64;
     bool operator==(const ReplicaSettings&) const = default;
 };
 
 // Contents of the disk when the process started.
 struct StoredState {
-    std::uint64_t start_count = 1;                    // number of times that this disk was opened
-    TableVersion table_version;                       // of the newest table that was applied
+    std::uint64_t start_count = 1;  // number of times that this disk was opened
+    TableVersion table_version;     // version of the newest table that was applied
     std::vector<std::pair<ShardId, Record>> records;  // expires_at is the remaining time to live
     std::set<ShardId> corrupt;                        // shards with an altered row
 };
--- a/src/replication/replica_limits.hpp
+++ b/src/replication/replica_limits.hpp
@@ -15,7 +15,7 @@
 // Largest difference between the times at which members drop the same record. A record that expires
 // within this time is marked as expiring: another member may have dropped it already.
 inline constexpr Seconds kMaxExpirySkew = 5;
-inline constexpr Seconds kExpiryInterval = 1;  // between two scans for expired records
+inline constexpr Seconds kExpiryInterval = 1;  // interval between two scans for expired records
 // Unused repair rate accumulates over at most this time.
 inline constexpr double kRepairAllowanceWindowSeconds = 0.25;
 inline constexpr Seconds kNever = std::numeric_limits<double>::infinity();
--- a/src/replication/types.hpp
+++ b/src/replication/types.hpp
@@ -139,14 +139,14 @@
     Disk disk;
     bool disk_works = true;      // false once a write to the disk has failed
     TableVersion table_version;  // newest table that the member has applied
-    // Sent by the primary of the shard: the member has caught up.
+    // Shards of which the reporting member is the primary, each with a member that has caught up.
     std::vector<std::pair<ShardId, Name>> caught_up;
-    // Sent by the primary of the shard: the member does not acknowledge messages.
+    // Shards of which the reporting member is the primary, each with a member that does not
+    // acknowledge.
     std::vector<std::pair<ShardId, Name>> lagging;
-    // Sent by the primary of the shard: every record that was lost with the former replicas has
-    // expired.
+    // Shards of which the reporting member is the primary, and whose lost records have all expired.
     std::vector<ShardId> data_loss_over;
-    // Shards of which a stored row was found altered; the member's replicas of them count as lost.
+    // Shards in which a stored row was found altered; the member's replicas of them count as lost.
     std::vector<ShardId> corrupt;
     std::size_t records = 0;
     std::size_t bytes = 0;
--- a/tests/replication/effect_log_client_test.cpp
+++ b/tests/replication/effect_log_client_test.cpp
@@ -1,4 +1,4 @@
-// The client of the effect log: what it does before and after an attempt.
+// Tests of the effect log's client: its actions before and after an attempt.
 #include "replication/effect_log_client.hpp"
 
 #include "replication_fixture.hpp"
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Records the calls of the client as words, in their order.
+// Records the calls of the client as event names, in their order.
 struct RecordingEffectLogHost : EffectLogClientHost {
     std::vector<std::string> events;
     RequestNumber last_request_number;
@@ -60,7 +60,7 @@
     std::vector<AttemptRecord> earlier_attempts;
     std::vector<std::string> alarms;
 };
-// A client of member a whose first attempt of a request waits for its claim.
+// A client at member a; the first attempt of its request waits for its claim.
 struct EffectLogFixture {
     explicit EffectLogFixture(bool idempotent = true, const EffectLogClientSettings& settings = {})
         : effect_log(host, settings, kA, Incarnation{1}, 0),
@@ -176,7 +176,8 @@
                                     TableVersion{1}, &record);
         REQUIRE(fixture.host.has_event(idempotent ? "enter" : "unknown"));
         if (idempotent) {
-            // Not later than it was sent: counted from when the client asked.
+            // The send time is not later than the true one, because the age is counted from the
+            // client's request.
             CHECK(fixture.host.earlier_attempts.at(0).sent_at <= 10 - 0.3 + 1e-9);
             fixture.effect_log.before_attempt(10.4, fixture.request, AttemptNumber{1}, {}, {});
             CHECK(fixture.host.known_version == record.version);
@@ -194,7 +195,8 @@
     }
 }
 
-// Guards the reports by which a primary that waits for a lost replica was excluded.
+// Guards against the exclusion of a primary that waits for a lost replica: claimants that got no
+// reply reported it as silent.
 TEST_CASE("a primary that says that it can't answer yet is not silent") {
     EffectLogClientSettings settings;
     settings.claim_timeout = 0.5;
@@ -203,7 +205,7 @@
     for (int i = 1; i <= 11; ++i) {
         const Seconds now = 10 + 0.1 * i;
         if (i == 4) {
-            // Rejected by now: its client tries again.
+            // The request was rejected by now, and its client retries.
             fixture.effect_log.before_attempt(now, fixture.request, AttemptNumber{1}, {}, {});
         }
         fixture.effect_log.tick(now);
@@ -215,8 +217,8 @@
     CHECK(fixture.effect_log.silent_primaries(11.1).contains(kB) != replies);
 }
 
-// Guards against claims that no reply ever fits: with replicas slower than the interval of
-// resending, each reply is to a sending before the last.
+// Guards against claims that are never granted: if the replicas are slower than the resend
+// interval, each reply belongs to a send before the last one.
 TEST_CASE("a reply to an earlier sending of a claim or a read counts") {
     EffectLogFixture fixture;
     const RequestNumber first = fixture.host.last_request_number;
@@ -261,7 +263,7 @@
     }
 }
 
-// Guards against a second effect: the record that would have told of the first is lost.
+// Guards against a second effect: the record of the first one was lost with the replicas.
 TEST_CASE("after all replicas were lost no attempt goes out, even where unreplicated ones may") {
     EffectLogClientSettings settings;
     settings.allow_unreplicated = GENERATE(true, false);
@@ -271,12 +273,12 @@
     CHECK(fixture.host.events.back() == "cannot");
     CHECK_FALSE(fixture.host.has_event("go"));
     CHECK(fixture.effect_log.unreplicated() == 0);
-    // Not the alarm of replicas that are slow.
+    // The alarm is not the one for slow replicas.
     REQUIRE(fixture.host.alarms.size() == 1);
     CHECK(fixture.host.alarms[0].find("lost") != std::string::npos);
 }
 
-// Guards against a map that only grows while no primary answers.
+// Guards against a map that grows without bound while no primary answers.
 TEST_CASE("a notification that is given up for newer ones is forgotten whole") {
     RecordingEffectLogHost host;
     PrimaryRequests requests(0, 0.5);
@@ -288,7 +290,8 @@
         notifications.settle(10, kKey, attempt_by(kA, 2 + i), {}, requests, host);
     }
     REQUIRE(notifications.count() == kMaxNotifications);
-    // Its number names nothing any more, so the reply is not taken for a notification's.
+    // The number of the dropped notification is unknown, so the reply is not taken for a
+    // notification's.
     CHECK_FALSE(notifications.on_reply(first, Reply::stored, nullptr, requests, host));
     CHECK(notifications.on_reply(RequestNumber{2}, Reply::stored, nullptr, requests, host));
 }
--- a/tests/replication/message_codec_test.cpp
+++ b/tests/replication/message_codec_test.cpp
@@ -1,4 +1,4 @@
-// Tables and records on the wire.
+// Tests of the encoding of tables and records on the wire.
 #include "replication/message_codec.hpp"
 
 #include <rapidcheck.h>
@@ -41,7 +41,7 @@
         record.attempts[0].sent_at = 95;
         wire::HeldRecord message;
         put(100, record, message);
-        // Decoded on another clock: times are sent as spans.
+        // The receiver's clock differs from the sender's: messages contain ages in place of times.
         const Record decoded = record_from(1000, message);
         RC_ASSERT(decoded.key == record.key && decoded.version == record.version &&
                   decoded.content == record.content);
--- a/tests/replication/placement_test.cpp
+++ b/tests/replication/placement_test.cpp
@@ -1,4 +1,4 @@
-// Which members hold a shard.
+// Tests of the placement of replicas.
 #include "replication/placement.hpp"
 
 #include <rapidcheck.h>
@@ -24,13 +24,13 @@
             used.insert(members[each]);
         }
         RC_ASSERT(used.size() == wanted);
-        // A member without a replica of the shard leaves: nothing moves.
+        // If a member without a replica of the shard leaves, nothing moves.
         auto fewer = members;
         const Name gone{"m" + std::to_string(*rc::gen::inRange(0, count))};
         fewer.erase(gone);
         if (std::find(all.begin(), all.end(), gone) == all.end())
             RC_ASSERT(placed(shard_id, fewer, wanted) == all);
-        // With one place each, members that remain keep their replicas.
+        // If each member has a place of its own, the remaining members keep their replicas.
         std::map<Name, Place> in_distinct_places;
         for (const auto& [name, place] : members) {
             in_distinct_places[name] = Place{name.value};
--- a/tests/replication/replica_store_test.cpp
+++ b/tests/replication/replica_store_test.cpp
@@ -1,5 +1,5 @@
-// The stored records of a member: read back unchanged; altered, moved or truncated ones are
-// detected and never used.
+// Tests of the replica store: stored records are read back unchanged; altered, moved or truncated
+// records are detected and never used.
 #include "replication/replica_store.hpp"
 
 #include <poll.h>
@@ -147,7 +147,7 @@
         REQUIRE(at != std::string::npos);
         file.seekp(static_cast<std::streamoff>(at)).put('T');
     } else if (std::string(damage).starts_with("UPDATE held")) {
-        // A row moved to another shard than it was stored for.
+        // Moves a row to another shard than the one for which it was stored.
         storage::SqliteDatabase database(folder.path, "held.db", storage::JournalMode::rollback);
         database.run(
             "UPDATE held SET slot = 1 WHERE slot = 2 AND sum = (SELECT min(sum) FROM held WHERE "
@@ -189,7 +189,7 @@
                Catch::Contains("replica file moved aside: action=catch_up reason=\""));
     CHECK(fs::exists(folder.db() + ".damaged-1"));
 }
-// Guards against a primary that was deposed and, after a restart, takes an older table again.
+// Guards against a deposed primary that applies an older table again after a restart.
 TEST_CASE("an altered number of the newest table is damage, not a table that was never seen") {
     TemporaryFolder folder;
     {
--- a/tests/replication/replication_fixture.hpp
+++ b/tests/replication/replication_fixture.hpp
@@ -1,5 +1,5 @@
-// Shared by the tests of replication: three members, a table of one shard, attempts, and a replica
-// with a host that records what it does.
+// Fixtures shared by the replication tests: three members, a table with one shard, attempts, and a
+// replica whose host records its calls.
 #pragma once
 
 #include <algorithm>
@@ -19,7 +19,7 @@
 inline const Name kC{"c"};
 inline const Key kKey{{7, 0}};
 
-// A table of one shard with these replicas, the first of which is its primary.
+// Returns a table with one shard that has these replicas; the first one is the primary.
 inline ReplicaTable table_of(std::uint64_t number, const std::vector<Name>& replicas,
                              std::size_t min_replicas = 2) {
     ReplicaTable table;
@@ -33,12 +33,12 @@
     table.shards = {replica_set};
     return table;
 }
-// An attempt of this member that is in flight.
+// Returns an in-flight attempt of this member.
 inline AttemptRecord attempt_by(const Name& name, std::uint64_t request, int attempt = 0) {
     return {{name, Incarnation{1}, request}, attempt, AttemptOutcome::in_flight, {}, {}, 0};
 }
 
-// How long a message took at most, as a primary tells the replica that got it.
+// Upper bound of a message's delay, as sent by a primary to the replica that received the message.
 struct SentDelay {
     Name to;
     MessageNumber number;
@@ -115,7 +115,7 @@
             replica.receive_differences(10, kB, host.sent_digests.back().second, {}, {});
         }
     }
-    // All writes in flight are stored, on the own disk and by the other replicas.
+    // Completes all writes in flight, on this member's disk and at the other replicas.
     void complete_writes() {
         replica.on_stored(11, host.last_write);
         for (const auto& [to, number] : std::vector(host.sent_records)) {
--- a/tests/replication/replication_settings_test.cpp
+++ b/tests/replication/replication_settings_test.cpp
@@ -1,4 +1,4 @@
-// The replication settings of an operator file.
+// Tests of the replication settings in an operator file.
 #include <catch2/catch.hpp>
 
 #include "cluster/cluster_config.hpp"
