--- a/src/replication/claimant_request.cpp
+++ b/src/replication/claimant_request.cpp
@@ -24,7 +24,7 @@
 }
 
 // Returns null if the record does not contain the request's attempt.
-AttemptRecord* attempt_of(const ClaimantRequest& request, Record& record) {
+AttemptRecord* find_attempt(const ClaimantRequest& request, Record& record) {
     for (AttemptRecord& attempt : record.attempts) {
         if (attempt.is_attempt_of(request.attempt.owner, request.attempt.number)) {
             return &attempt;
@@ -45,7 +45,7 @@
 
 RequestDecision decide_settle(const ClaimantRequest& request, Record record, Seconds now) {
     const AttemptOutcome outcome = request.attempt.outcome;
-    AttemptRecord* const own = attempt_of(request, record);
+    AttemptRecord* const own = find_attempt(request, record);
     // An answer is final, even if another outcome arrives later.
     if (record.answered) {
         return reply_with(Reply::stored, std::move(record));
@@ -99,7 +99,7 @@
     if (record.answered) {
         return reply_with(Reply::answered, std::move(record));
     }
-    if (const AttemptRecord* const own = attempt_of(request, record); own != nullptr) {
+    if (const AttemptRecord* const own = find_attempt(request, record); own != nullptr) {
         // A claim that arrives again after its attempt was settled must not make the attempt look
         // as if it were in flight.
         if (own->outcome != AttemptOutcome::in_flight) {
--- a/src/replication/member_health.cpp
+++ b/src/replication/member_health.cpp
@@ -154,7 +154,7 @@
         // At least half of the other members have to complain: if fewer do, the fault may be
         // theirs.
         if (reporters > 0 && count >= kMinComplaints && 2 * count >= reporters - 1) {
-            exclude(now, {name, ExclusionReason::silent, count}, excluded);
+            exclude_member(now, {name, ExclusionReason::silent, count}, excluded);
         }
     }
 }
@@ -175,14 +175,14 @@
         const bool primary_at_fault =
             present >= kMinComplaints && 2 * present > members.backups[primary].size();
         for (const Name& name : primary_at_fault ? std::set<Name>{primary} : lagging) {
-            exclude(now, {name, ExclusionReason::lagging, lagging.size()}, excluded);
+            exclude_member(now, {name, ExclusionReason::lagging, lagging.size()}, excluded);
         }
     }
 }
 
 // Excludes a member for the cooldown. An exclusion that has not ended is not extended.
-void MemberHealth::exclude(Seconds now, const Exclusion& exclusion,
-                           std::vector<Exclusion>& excluded) {
+void MemberHealth::exclude_member(Seconds now, const Exclusion& exclusion,
+                                  std::vector<Exclusion>& excluded) {
     MemberState& member = members_[exclusion.member];
     if (now >= member.excluded_until) {
         member.excluded_until = now + cooldown_;
--- a/src/replication/member_health.hpp
+++ b/src/replication/member_health.hpp
@@ -109,7 +109,7 @@
     void exclude_silent_primaries(Seconds now, std::vector<Exclusion>& excluded);
     void exclude_lagging(Seconds now, const ReplicaTable& table,
                          const PrimaryReports& primary_reports, std::vector<Exclusion>& excluded);
-    void exclude(Seconds now, const Exclusion& exclusion, std::vector<Exclusion>& excluded);
+    void exclude_member(Seconds now, const Exclusion& exclusion, std::vector<Exclusion>& excluded);
 
     Seconds absence_limit_;
     Seconds cooldown_;
--- a/src/replication/notifications.cpp
+++ b/src/replication/notifications.cpp
@@ -43,7 +43,7 @@
         notifications_.erase(notifications_.begin());
     }
     const NotificationId id = ++last_id_;
-    notification.since = now;
+    notification.added_at = now;
     Notification& added = notifications_[id] = std::move(notification);
     send_notification(now, id, added, requests, host);
 }
@@ -53,7 +53,7 @@
                                       PrimaryRequests& requests, EffectLogClientHost& host) {
     ids_by_request_.erase(notification.number);
     notification.resend_at =
-        now + std::clamp((now - notification.since) / 2, 2 * settings_.resend_interval,
+        now + std::clamp((now - notification.added_at) / 2, 2 * settings_.resend_interval,
                          kMaxNotificationInterval);
     const Name* const primary = requests.primary_of(notification.key);
     if (!primary) {
@@ -102,7 +102,7 @@
 
 void Notifications::tick(Seconds now, PrimaryRequests& requests, EffectLogClientHost& host) {
     std::erase_if(notifications_, [&](const auto& each) {
-        const bool timed_out = now > each.second.since + settings_.notification_timeout;
+        const bool timed_out = now > each.second.added_at + settings_.notification_timeout;
         if (timed_out) {
             ids_by_request_.erase(each.second.number);
         }
--- a/src/replication/notifications.hpp
+++ b/src/replication/notifications.hpp
@@ -52,7 +52,7 @@
         AttemptRecord attempt;
         // settle: the endpoint's answer. store_bytes: the bytes to store.
         std::string bytes;
-        Seconds since = 0;
+        Seconds added_at = 0;
         Seconds resend_at = 0;
         // Number of the last request that was sent for it; 0: none yet.
         RequestNumber number;
--- a/src/replication/repair_alarms.cpp
+++ b/src/replication/repair_alarms.cpp
@@ -28,20 +28,22 @@
 void RepairAlarms::update(Seconds now, const ReplicationStatus& status, const ReplicaTable& table,
                           RepairCoordinatorHost& host) {
     const std::string absent = join_names(status.absent_members);
-    set(now, kUnavailableKey, status.unavailable,
-        fmt::format("shards unavailable: count={} total={} absent=\"{}\" action=\"bring them "
-                    "back, or remove them\"",
-                    status.unavailable, status.shards, absent),
-        host);
-    set(now, kUnderReplicatedKey, status.under_replicated,
+    set_alarm(now, kUnavailableKey, status.unavailable,
+              fmt::format("shards unavailable: count={} total={} absent=\"{}\" action=\"bring them "
+                          "back, or remove them\"",
+                          status.unavailable, status.shards, absent),
+              host);
+    set_alarm(
+        now, kUnderReplicatedKey, status.under_replicated,
         fmt::format("shards under-replicated: count={} total={} replicas_wanted={} absent=\"{}\"",
                     status.under_replicated, status.shards, table.replication_factor, absent),
         host);
-    set(now, kSinglePlaceKey, status.single_place,
-        fmt::format("shards in one place only: count={} total={}", status.single_place,
-                    status.shards),
-        host);
-    set(now, kDataLostKey, status.data_lost,
+    set_alarm(now, kSinglePlaceKey, status.single_place,
+              fmt::format("shards in one place only: count={} total={}", status.single_place,
+                          status.shards),
+              host);
+    set_alarm(
+        now, kDataLostKey, status.data_lost,
         fmt::format("shards lost all replicas: count={} total={}", status.data_lost, status.shards),
         host);
 }
@@ -50,8 +52,8 @@
     reported_alarms_.clear();
 }
 
-void RepairAlarms::set(Seconds now, const std::string& key, std::size_t count,
-                       const std::string& text, RepairCoordinatorHost& host) {
+void RepairAlarms::set_alarm(Seconds now, const std::string& key, std::size_t count,
+                             const std::string& text, RepairCoordinatorHost& host) {
     const bool raised = count > 0;
     const auto reported = reported_alarms_.find(key);
     const bool known = reported != reported_alarms_.end() && reported->second.raised == raised;
--- a/src/replication/repair_alarms.hpp
+++ b/src/replication/repair_alarms.hpp
@@ -28,8 +28,8 @@
         std::string text;
         Seconds at = 0;
     };
-    void set(Seconds now, const std::string& key, std::size_t count, const std::string& text,
-             RepairCoordinatorHost& host);
+    void set_alarm(Seconds now, const std::string& key, std::size_t count, const std::string& text,
+                   RepairCoordinatorHost& host);
 
     // By alarm key; empty after a reset.
     std::map<std::string, ReportedAlarm> reported_alarms_;
--- a/src/replication/repair_coordinator.cpp
+++ b/src/replication/repair_coordinator.cpp
@@ -27,9 +27,9 @@
 
 void RepairCoordinator::lease_acquired(Seconds now, const ReplicaTable& table) {
     holds_lease_ = true;
-    proposing_ = false;
+    has_pending_proposal_ = false;
     next_report_request_at_ = now;
-    propose_at_ = now;
+    next_proposal_at_ = now;
     table_ = table;
     member_health_.lease_acquired(now, table);
     primary_reports_.clear();
@@ -45,15 +45,15 @@
         return;
     }
     table_ = table;
-    proposing_ = false;
+    has_pending_proposal_ = false;
     member_health_.apply_table(table);
     primary_reports_.clear();
-    propose_at_ = now;
+    next_proposal_at_ = now;
 }
 
 void RepairCoordinator::proposal_failed(Seconds now) {
-    proposing_ = false;
-    propose_at_ = now + kProposalRetryDelay;
+    has_pending_proposal_ = false;
+    next_proposal_at_ = now + kProposalRetryDelay;
 }
 
 void RepairCoordinator::update_member(Seconds now, const Name& name, const Incarnation& incarnation,
@@ -94,10 +94,10 @@
 }
 
 bool RepairCoordinator::may_propose(Seconds now) {
-    if (proposing_ && now > propose_at_ + kProposalTimeout) {
-        proposing_ = false;
+    if (has_pending_proposal_ && now > next_proposal_at_ + kProposalTimeout) {
+        has_pending_proposal_ = false;
     }
-    return !proposing_ && now >= propose_at_;
+    return !has_pending_proposal_ && now >= next_proposal_at_;
 }
 
 // Proposes the next table if it differs from the present one in more than its version.
@@ -112,8 +112,8 @@
     if (next == unchanged) {
         return;
     }
-    proposing_ = true;
-    propose_at_ = now + settings_.report_interval;
+    has_pending_proposal_ = true;
+    next_proposal_at_ = now + settings_.report_interval;
     host_->propose(next);
 }
 
@@ -138,7 +138,8 @@
 }
 
 std::string RepairCoordinator::state() const {
-    std::string text = fmt::format("{}{}{}", holds_lease_, proposing_, table_.version.value);
+    std::string text =
+        fmt::format("{}{}{}", holds_lease_, has_pending_proposal_, table_.version.value);
     for (const auto& [name, member] : member_health_.members()) {
         text += fmt::format("m{}.{}.{}.{}.{}", name.value, member.incarnation.value, member.present,
                             member.report ? member.report->disk.value : 0,
--- a/src/replication/repair_coordinator.hpp
+++ b/src/replication/repair_coordinator.hpp
@@ -73,7 +73,7 @@
     RepairSettings settings_;
     bool holds_lease_ = false;
     // A proposal is pending: it was neither accepted nor rejected, and has not timed out.
-    bool proposing_ = false;
+    bool has_pending_proposal_ = false;
     // The newest table that the planners have agreed on; `member_health_` has its version and
     // disks.
     ReplicaTable table_;
@@ -83,7 +83,7 @@
     RepairAlarms alarms_;
     ReplicationStatus status_;
     // No table is proposed before this time.
-    Seconds propose_at_ = 0;
+    Seconds next_proposal_at_ = 0;
     Seconds next_report_request_at_ = 0;
     Seconds next_plan_at_ = 0;
 };
--- a/src/replication/replica.cpp
+++ b/src/replication/replica.cpp
@@ -100,7 +100,7 @@
 // this member's own disk are left out, because a disk that hangs has to be noticed.
 void Replica::notify_waiting_claimants(const std::vector<OperationNumber>& overdue) {
     std::map<Name, RequestNumber> newest;
-    const auto add = [&](const Name& name, RequestNumber number) {
+    const auto add_claimant = [&](const Name& name, RequestNumber number) {
         RequestNumber& known = newest[name];
         known = std::max(known, number);
     };
@@ -111,7 +111,7 @@
             continue;
         }
         if (operation->claimant) {
-            add(operation->claimant->name, operation->claimant->number);
+            add_claimant(operation->claimant->name, operation->claimant->number);
         }
         const Shard& shard = shards_.at(operation->shard_id);
         const auto queue = shard.queued_requests.find(operation->key);
@@ -119,7 +119,7 @@
             continue;
         }
         for (const ClaimantRequest& request : queue->second) {
-            add(request.from, request.number);
+            add_claimant(request.from, request.number);
         }
     }
     for (const auto& [name, number] : newest) {
--- a/src/replication/replica.hpp
+++ b/src/replication/replica.hpp
@@ -127,7 +127,7 @@
     void drop_unassigned_shards(bool own_disk);
     void clear_shard(ShardId shard_id, Shard& shard);
     void assign_shard(Seconds now, ShardId shard_id, const ReplicaSet& replica_set);
-    void become_primary(Seconds now, ShardId shard_id, Shard& shard, bool anew);
+    void become_primary(Seconds now, ShardId shard_id, Shard& shard, bool first_assignment);
     void redirect_operations(Seconds now, ShardId shard_id, Shard& shard);
     void abort_operations(ShardId shard_id, Shard& shard);
     void reply_without_record(const Operation& operation, Reply reply);
--- a/src/replication/replica_backup.cpp
+++ b/src/replication/replica_backup.cpp
@@ -16,7 +16,7 @@
 // null. Ages in a message are counted from its arrival, so a send time may be later than the true
 // one. It is moved back by the longest delay, unless an earlier message on the same attempt gave a
 // more accurate time.
-Record received_record(const Record& received, const Record* held) {
+Record make_backup_record(const Record& received, const Record* held) {
     Record record = received;
     for (AttemptRecord& attempt : record.attempts) {
         attempt.sent_at -= kMaxMessageDelay;
@@ -34,7 +34,7 @@
     return record;
 }
 
-ReceivedRecord received_from(const Name& from, MessageNumber number, const Record& record) {
+ReceivedRecord make_received_record(const Name& from, MessageNumber number, const Record& record) {
     ReceivedRecord received{from, number, record.version, {}};
     for (const AttemptRecord& attempt : record.attempts) {
         received.sent_at.push_back(attempt.sent_at);
@@ -74,8 +74,8 @@
         const auto it = shard->records.find(record->key);
         const Record* const held = it == shard->records.end() ? nullptr : &it->second;
         if (!held || held->version < record->version) {
-            store_record(shard_id, *shard, received_record(*record, held));
-            shard->received_records[record->key] = received_from(from, number, *record);
+            store_record(shard_id, *shard, make_backup_record(*record, held));
+            shard->received_records[record->key] = make_received_record(from, number, *record);
         }
     }
     local_writes_.acknowledge_when_stored(*host_, from, number);
--- a/src/replication/replica_catch_up.cpp
+++ b/src/replication/replica_catch_up.cpp
@@ -85,10 +85,10 @@
     }
     peer->second.pending_comparison = {};
     std::vector<Key> keys = keys_to_send(shard.records, ranges, key_versions);
-    const bool again = overwrite_newer_versions(now, shard_id, shard, key_versions, keys);
+    const bool compare_again = overwrite_newer_versions(now, shard_id, shard, key_versions, keys);
     std::deque<Key>& to_send = shard.peers.at(from).to_send;
     to_send.insert(to_send.end(), keys.begin(), keys.end());
-    if (again) {
+    if (compare_again) {
         return start_comparison(now, shard_id, shard, from);
     }
     send_repairs(now, shard_id, shard, from);
@@ -101,7 +101,7 @@
 bool Replica::overwrite_newer_versions(Seconds now, ShardId shard_id, Shard& shard,
                                        const std::vector<KeyVersion>& key_versions,
                                        std::vector<Key>& keys) {
-    bool again = false;
+    bool compare_again = false;
     for (const KeyVersion& theirs : key_versions) {
         const auto own = shard.records.find(theirs.key);
         const bool absent = own == shard.records.end();
@@ -109,7 +109,7 @@
             continue;
         }
         if (shard.active_operations.contains(theirs.key)) {
-            again = true;
+            compare_again = true;
             continue;
         }
         Record record;
@@ -120,7 +120,7 @@
         keys.push_back(theirs.key);
         write(now, shard_id, shard, std::move(record), std::nullopt, Reply::stored);
     }
-    return again;
+    return compare_again;
 }
 
 // Sends a member the records that it lacks, as far as the repair window permits. If it is not a
--- a/src/replication/replica_primary.cpp
+++ b/src/replication/replica_primary.cpp
@@ -12,8 +12,8 @@
     // Requests queued on one key. Further requests are answered with try_again.
     256;
 
-ClaimantRequest request_of(ClaimantRequest::Kind kind, const Name& from, RequestNumber number,
-                           const Key& key) {
+ClaimantRequest make_request(ClaimantRequest::Kind kind, const Name& from, RequestNumber number,
+                             const Key& key) {
     ClaimantRequest request;
     request.kind = kind;
     request.from = from;
@@ -27,7 +27,7 @@
 void Replica::claim(Seconds now, const Name& from, RequestNumber number, const Key& key,
                     std::uint64_t content, const AttemptRecord& attempt,
                     std::optional<Version> known_version) {
-    ClaimantRequest request = request_of(ClaimantRequest::Kind::claim, from, number, key);
+    ClaimantRequest request = make_request(ClaimantRequest::Kind::claim, from, number, key);
     request.attempt = attempt;
     // The attempt is sent only after the claim is granted, so not before now.
     request.attempt.sent_at = now;
@@ -39,7 +39,7 @@
 
 void Replica::settle(Seconds now, const Name& from, RequestNumber number, const Key& key,
                      const AttemptRecord& attempt, const std::string& answer) {
-    ClaimantRequest request = request_of(ClaimantRequest::Kind::settle, from, number, key);
+    ClaimantRequest request = make_request(ClaimantRequest::Kind::settle, from, number, key);
     request.attempt = attempt;
     request.bytes = answer;
     handle_request(now, std::move(request));
@@ -47,13 +47,13 @@
 
 void Replica::store_bytes(Seconds now, const Name& from, RequestNumber number, const Key& key,
                           const std::string& bytes) {
-    ClaimantRequest request = request_of(ClaimantRequest::Kind::store_bytes, from, number, key);
+    ClaimantRequest request = make_request(ClaimantRequest::Kind::store_bytes, from, number, key);
     request.bytes = bytes;
     handle_request(now, std::move(request));
 }
 
 void Replica::read(Seconds now, const Name& from, RequestNumber number, const Key& key) {
-    handle_request(now, request_of(ClaimantRequest::Kind::read, from, number, key));
+    handle_request(now, make_request(ClaimantRequest::Kind::read, from, number, key));
 }
 
 // Serves a request at once, or queues it behind the operation in progress on its key.
--- a/src/replication/replica_store.cpp
+++ b/src/replication/replica_store.cpp
@@ -73,14 +73,14 @@
     }
     database_->run("COMMIT");
     if (!database_->fresh()) {
-        read(name);
+        load_database(name);
     }
     found_.start_count += 1;
     database_->run("BEGIN EXCLUSIVE");
     ReplicaMetadata(*database_).set("starts", std::to_string(found_.start_count));
     database_->run("COMMIT");
 }
-void ReplicaStore::read(const Name& name) {
+void ReplicaStore::load_database(const Name& name) {
     if (!database_->sound()) {
         throw storage::DamagedFileError(database_->path() + ": SQLite finds it malformed");
     }
@@ -208,7 +208,7 @@
         }
         std::string failed;
         try {
-            write(tasks);
+            execute_tasks(tasks);
         } catch (const std::exception& error) {
             // After a failed fsync the contents of the disk are unknown, so nothing more is
             // written.
@@ -232,10 +232,10 @@
         }
     }
 }
-void ReplicaStore::write(const std::deque<Task>& tasks) {
+void ReplicaStore::execute_tasks(const std::deque<Task>& tasks) {
     const auto is_scrub = [](const Task& each) { return each.kind == Task::Kind::scrub; };
     if (!std::all_of(tasks.begin(), tasks.end(), is_scrub)) {
-        write_rows(tasks);
+        write_transaction(tasks);
     }
     for (const Task& each : tasks) {
         if (!is_scrub(each) || is_intact_on_disk(each.shard_id)) {
@@ -247,10 +247,10 @@
 }
 
 // Executes all tasks in one transaction, with the digests of the shards that they change.
-void ReplicaStore::write_rows(const std::deque<Task>& tasks) {
+void ReplicaStore::write_transaction(const std::deque<Task>& tasks) {
     std::set<ShardId> changed_shards;
     database_->run("BEGIN EXCLUSIVE");
-    write_each(tasks, changed_shards);
+    write_tasks(tasks, changed_shards);
     for (const ShardId shard_id : changed_shards) {
         write_digest(shard_id);
     }
@@ -258,7 +258,7 @@
     ++commits_;
 }
 
-void ReplicaStore::write_each(const std::deque<Task>& tasks, std::set<ShardId>& changed_shards) {
+void ReplicaStore::write_tasks(const std::deque<Task>& tasks, std::set<ShardId>& changed_shards) {
     Statement insert_statement(
         *database_, "INSERT OR REPLACE INTO held (slot, key, bytes, sum) VALUES (?, ?, ?, ?)");
     Statement delete_statement(*database_, "DELETE FROM held WHERE slot = ? AND key = ?");
--- a/src/replication/replica_store.hpp
+++ b/src/replication/replica_store.hpp
@@ -95,14 +95,14 @@
     };
     using Statement = storage::SqliteDatabase::Statement;
     void open(const std::string& folder, const Name& name, std::uint64_t new_disk_id);
-    void read(const Name& name);
+    void load_database(const Name& name);
     void read_rows();
     void check_digests();
     void enqueue(Task task);
     void run_writer();
-    void write(const std::deque<Task>& tasks);
-    void write_rows(const std::deque<Task>& tasks);
-    void write_each(const std::deque<Task>& tasks, std::set<ShardId>& changed_shards);
+    void execute_tasks(const std::deque<Task>& tasks);
+    void write_transaction(const std::deque<Task>& tasks);
+    void write_tasks(const std::deque<Task>& tasks, std::set<ShardId>& changed_shards);
     void put_row(Statement& insert_row, const Task& task);
     void drop_rows(Statement& delete_row, const Task& task);
     void write_digest(ShardId shard_id);
--- a/src/replication/replica_table.cpp
+++ b/src/replication/replica_table.cpp
@@ -67,7 +67,8 @@
     // Before a restart this primary may have reported a member as caught up, and the next table may
     // make that member a replica. Writes therefore wait for all members that catch up until the
     // replica set changes.
-    const bool anew = std::exchange(shard.restored, false) || before.since_table == TableVersion{};
+    const bool first_assignment =
+        std::exchange(shard.restored, false) || before.since_table == TableVersion{};
     const bool was_primary = !before.replicas.empty() && before.primary() == self_;
     if (replica_set.since_table == before.since_table) {
         return;
@@ -91,14 +92,14 @@
         abort_operations(shard_id, shard);
     }
     if (shard.has_primary(self_)) {
-        become_primary(now, shard_id, shard, anew);
+        become_primary(now, shard_id, shard, first_assignment);
     }
 }
 
 // Starts to serve as the primary under a new replica set: sends the operations in progress to its
 // replicas and compares the shard with each member. `anew`: this process was not the primary
 // before, so members that catch up may have been reported as caught up.
-void Replica::become_primary(Seconds now, ShardId shard_id, Shard& shard, bool anew) {
+void Replica::become_primary(Seconds now, ShardId shard_id, Shard& shard, bool first_assignment) {
     const ReplicaSet& replica_set = shard.replica_set;
     redirect_operations(now, shard_id, shard);
     const std::vector<OperationNumber> ready =
@@ -111,7 +112,7 @@
         start_comparison(now, shard_id, shard, name);
     }
     for (const Name& name : replica_set.catching_up) {
-        shard.peers[name].writes_wait = anew;
+        shard.peers[name].writes_wait = first_assignment;
         start_comparison(now, shard_id, shard, name);
     }
     shard.next_comparison_at = now + settings_.comparison_interval;
