--- a/src/replication/claimant_request.cpp
+++ b/src/replication/claimant_request.cpp
@@ -7,9 +7,8 @@
 
 using Action = RequestDecision::Action;
 
-constexpr std::size_t kMaxRecordedAttempts =
-    // Attempts in the record of one key. Attempts known not to have run are removed to make room.
-    32;
+// Attempts in the record of one key. Attempts known not to have run are removed to make room.
+constexpr std::size_t kMaxRecordedAttempts = 32;
 
 RequestDecision reply_with(Reply reply, Record record) {
     return {Action::reply, reply, std::move(record)};
--- a/src/replication/replica_catch_up.cpp
+++ b/src/replication/replica_catch_up.cpp
@@ -34,9 +34,9 @@
     }
 }
 
-// A member that stops acknowledging while it catches up would block all writes. It is not a replica
-// yet, so after the lag limit operations no longer wait for it, and it has to catch up on their
-// keys.
+// Stops waiting for members that catch up and have not acknowledged within the lag limit, because
+// they would block all writes. They are not replicas yet, and have to catch up on the keys
+// concerned.
 void Replica::stop_waiting_for_lagging_peers(Seconds now, ShardId shard_id, Shard& shard) {
     for (auto& [number, operation] : operations_.all()) {
         if (operation.shard_id != shard_id || operation.is_repair) {
--- a/src/replication/replica_operations.cpp
+++ b/src/replication/replica_operations.cpp
@@ -130,7 +130,7 @@
 
 // Tells a member an upper bound for the delay of the acknowledged message. The member counts the
 // ages of attempts from the arrival of that message, and without this bound has to assume the
-// longest delay. The member does not acknowledge this message.
+// longest delay. No operation waits for this message.
 void Replica::send_measured_delay(const Operation& operation, const Name& to, MessageNumber number,
                                   Seconds delay) {
     if (!operation.is_write && !operation.is_repair) {
--- a/src/replication/replica_primary.cpp
+++ b/src/replication/replica_primary.cpp
@@ -8,9 +8,8 @@
 namespace tideline::replication {
 namespace {
 
-constexpr std::size_t kMaxQueuedRequests =
-    // Requests queued on one key. Further requests are answered with try_again.
-    256;
+// Requests queued on one key. Further requests are answered with try_again.
+constexpr std::size_t kMaxQueuedRequests = 256;
 
 ClaimantRequest make_request(ClaimantRequest::Kind kind, const Name& from, RequestNumber number,
                              const Key& key) {
--- a/src/replication/replica_store.hpp
+++ b/src/replication/replica_store.hpp
@@ -58,7 +58,9 @@
     // These functions queue tasks, which are executed in the order of the calls.
     void put(WriteNumber number, ShardId shard_id, const Record& record, Seconds now);
     void drop(WriteNumber number, ShardId shard_id, std::vector<Key> keys);
+    // Removes all rows of the shard.
     void clear(WriteNumber number, ShardId shard_id);
+    // Stores the version of the newest table.
     void number(WriteNumber number, TableVersion version);
     // Verifies the stored rows of the shard after the earlier tasks.
     void scrub(ShardId shard_id);
--- a/src/replication/replica_table.cpp
+++ b/src/replication/replica_table.cpp
@@ -97,8 +97,9 @@
 }
 
 // Starts to serve as the primary under a new replica set: sends the operations in progress to its
-// replicas and compares the shard with each member. `anew`: this process was not the primary
-// before, so members that catch up may have been reported as caught up.
+// replicas and compares the shard with each member. `first_assignment`: no table has assigned the
+// shard to this member since the process started or dropped the shard. Members that catch up may
+// then have been reported as caught up before.
 void Replica::become_primary(Seconds now, ShardId shard_id, Shard& shard, bool first_assignment) {
     const ReplicaSet& replica_set = shard.replica_set;
     redirect_operations(now, shard_id, shard);
--- a/src/replication/replication_status.hpp
+++ b/src/replication/replication_status.hpp
@@ -9,8 +9,8 @@
 
 namespace tideline::replication {
 
-// Each shard is counted in exactly one of `complete`, `under_replicated` and `unavailable`, and may
-// be counted in the other fields too.
+// Numbers of shards by state. Each shard is counted in exactly one of `complete`,
+// `under_replicated` and `unavailable`, and may be counted in the other fields too.
 struct ReplicationStatus {
     std::size_t shards = 0;
     std::size_t complete = 0;          // all replicas are available
