--- a/src/replication/repair_coordinator.cpp
+++ b/src/replication/repair_coordinator.cpp
@@ -10,9 +10,11 @@
 namespace tideline::replication {
 namespace {
 
-constexpr double kPlanIntervalFactor = 0.25;  // of the report interval: a plan is made so often
-constexpr Seconds kProposalRetryDelay = 0.3;  // seconds after a proposal that failed
-constexpr Seconds kProposalTimeout = 3;       // seconds: an unanswered proposal counts as failed
+// planning interval, as a fraction of the report interval
+constexpr double kPlanIntervalFactor = 0.25;
+constexpr Seconds kProposalRetryDelay = 0.3;  // delay of the next proposal after a failed one
+// time after which an unanswered proposal counts as failed
+constexpr Seconds kProposalTimeout = 3;
 
 }  // namespace
 
@@ -25,9 +27,9 @@
 
 void RepairCoordinator::lease_acquired(Seconds now, const ReplicaTable& table) {
     holds_lease_ = true;
-    proposing_ = false;
-    next_report_request_ = now;
-    propose_at_ = now;
+    has_pending_proposal_ = false;
+    next_report_request_at_ = now;
+    next_proposal_at_ = now;
     table_ = table;
     member_health_.lease_acquired(now, table);
     primary_reports_.clear();
@@ -43,15 +45,15 @@
         return;
     }
     table_ = table;
-    proposing_ = false;
+    has_pending_proposal_ = false;
     member_health_.apply_table(table);
     primary_reports_.clear();
-    propose_at_ = now;
+    next_proposal_at_ = now;
 }
 
 void RepairCoordinator::proposal_failed(Seconds now) {
-    proposing_ = false;
-    propose_at_ = now + kProposalRetryDelay;
+    has_pending_proposal_ = false;
+    next_proposal_at_ = now + kProposalRetryDelay;
 }
 
 void RepairCoordinator::update_member(Seconds now, const Name& name, const Incarnation& incarnation,
@@ -86,19 +88,19 @@
 // Counts the shards, and raises or clears alarms once the members have had time to report.
 void RepairCoordinator::update_status(Seconds now) {
     status_ = replication_status(now, table_, member_health_);
-    if (now >= member_health_.lease_since() + kReportAgeMost) {
+    if (now >= member_health_.lease_acquired_at() + kMaxReplicaReportAge) {
         alarms_.update(now, status_, table_, *host_);
     }
 }
 
 bool RepairCoordinator::may_propose(Seconds now) {
-    if (proposing_ && now > propose_at_ + kProposalTimeout) {
-        proposing_ = false;
+    if (has_pending_proposal_ && now > next_proposal_at_ + kProposalTimeout) {
+        has_pending_proposal_ = false;
     }
-    return !proposing_ && now >= propose_at_;
+    return !has_pending_proposal_ && now >= next_proposal_at_;
 }
 
-// Proposes the next table, if it differs from the present one in more than its version.
+// Proposes the next table if it differs from the present one in more than its version.
 void RepairCoordinator::propose_next_table(Seconds now) {
     const ReplicaTable next =
         ReplicaSetPlanner(settings_, table_, member_health_, primary_reports_, now).next_table();
@@ -110,8 +112,8 @@
     if (next == unchanged) {
         return;
     }
-    proposing_ = true;
-    propose_at_ = now + settings_.report_interval;
+    has_pending_proposal_ = true;
+    next_proposal_at_ = now + settings_.report_interval;
     host_->propose(next);
 }
 
@@ -119,24 +121,25 @@
     if (!holds_lease_) {
         return;
     }
-    if (now >= next_report_request_) {
-        next_report_request_ = now + settings_.report_interval;
+    if (now >= next_report_request_at_) {
+        next_report_request_at_ = now + settings_.report_interval;
         host_->request_reports();
     }
-    if (now < next_plan_) {
+    if (now < next_plan_at_) {
         return;
     }
-    next_plan_ = now + kPlanIntervalFactor * settings_.report_interval;
+    next_plan_at_ = now + kPlanIntervalFactor * settings_.report_interval;
     plan(now);
 }
 
 Seconds RepairCoordinator::due() const {
-    return holds_lease_ ? std::min(next_report_request_, next_plan_)
+    return holds_lease_ ? std::min(next_report_request_at_, next_plan_at_)
                         : std::numeric_limits<double>::infinity();
 }
 
 std::string RepairCoordinator::state() const {
-    std::string text = fmt::format("{}{}{}", holds_lease_, proposing_, table_.version.value);
+    std::string text =
+        fmt::format("{}{}{}", holds_lease_, has_pending_proposal_, table_.version.value);
     for (const auto& [name, member] : member_health_.members()) {
         text += fmt::format("m{}.{}.{}.{}.{}", name.value, member.incarnation.value, member.present,
                             member.report ? member.report->disk.value : 0,
--- a/src/replication/replica_primary.cpp
+++ b/src/replication/replica_primary.cpp
@@ -1,5 +1,5 @@
-// Replica as the primary of a shard: the requests of claimants, one write of a key at a time. The
-// rules that decide them are in claimant_request.cpp.
+// Replica as the primary of a shard: handles the requests of claimants, one write per key at a
+// time. The rules that decide a request are in claimant_request.cpp.
 
 #include <utility>
 
@@ -8,10 +8,11 @@
 namespace tideline::replication {
 namespace {
 
-constexpr std::size_t kQueuedMost = 256;  // requests that wait for one key; more are sent back
+// Requests queued on one key. Further requests are answered with try_again.
+constexpr std::size_t kMaxQueuedRequests = 256;
 
-ClaimantRequest request_of(ClaimantRequest::Kind kind, const Name& from, RequestNumber number,
-                           const Key& key) {
+ClaimantRequest make_request(ClaimantRequest::Kind kind, const Name& from, RequestNumber number,
+                             const Key& key) {
     ClaimantRequest request;
     request.kind = kind;
     request.from = from;
@@ -25,9 +26,10 @@
 void Replica::claim(Seconds now, const Name& from, RequestNumber number, const Key& key,
                     std::uint64_t content, const AttemptRecord& attempt,
                     std::optional<Version> known_version) {
-    ClaimantRequest request = request_of(ClaimantRequest::Kind::claim, from, number, key);
+    ClaimantRequest request = make_request(ClaimantRequest::Kind::claim, from, number, key);
     request.attempt = attempt;
-    request.attempt.sent_at = now;  // it goes out after it was granted, so not before this
+    // The attempt is sent only after the claim is granted, so not before now.
+    request.attempt.sent_at = now;
     request.attempt.outcome = AttemptOutcome::in_flight;
     request.known_version = known_version;
     request.content = content;
@@ -36,7 +38,7 @@
 
 void Replica::settle(Seconds now, const Name& from, RequestNumber number, const Key& key,
                      const AttemptRecord& attempt, const std::string& answer) {
-    ClaimantRequest request = request_of(ClaimantRequest::Kind::settle, from, number, key);
+    ClaimantRequest request = make_request(ClaimantRequest::Kind::settle, from, number, key);
     request.attempt = attempt;
     request.bytes = answer;
     handle_request(now, std::move(request));
@@ -44,16 +46,16 @@
 
 void Replica::store_bytes(Seconds now, const Name& from, RequestNumber number, const Key& key,
                           const std::string& bytes) {
-    ClaimantRequest request = request_of(ClaimantRequest::Kind::store_bytes, from, number, key);
+    ClaimantRequest request = make_request(ClaimantRequest::Kind::store_bytes, from, number, key);
     request.bytes = bytes;
     handle_request(now, std::move(request));
 }
 
 void Replica::read(Seconds now, const Name& from, RequestNumber number, const Key& key) {
-    handle_request(now, request_of(ClaimantRequest::Kind::read, from, number, key));
+    handle_request(now, make_request(ClaimantRequest::Kind::read, from, number, key));
 }
 
-// Serves a request at once, or queues it behind the operation under way on its key.
+// Serves a request at once, or queues it behind the operation in progress on its key.
 void Replica::handle_request(Seconds now, ClaimantRequest request) {
     const auto reply_with = [&](Reply reply) {
         host_->reply(request.from, request.number, reply, table_.version, nullptr);
@@ -70,18 +72,19 @@
     if (!shard.open) {
         return reply_with(Reply::try_again);
     }
-    if (!shard.writing.contains(request.key)) {
-        return serve(now, shard_id, shard, request);
+    if (!shard.active_operations.contains(request.key)) {
+        return serve_request(now, shard_id, shard, request);
     }
-    auto& queue = shard.queued[request.key];
-    if (queue.size() >= kQueuedMost) {
+    auto& queue = shard.queued_requests[request.key];
+    if (queue.size() >= kMaxQueuedRequests) {
         return reply_with(Reply::try_again);
     }
     queue.push_back(std::move(request));
 }
 
-// No operation is under way on the request's key.
-void Replica::serve(Seconds now, ShardId shard_id, Shard& shard, const ClaimantRequest& request) {
+// Serves a request. No operation may be in progress on its key.
+void Replica::serve_request(Seconds now, ShardId shard_id, Shard& shard,
+                            const ClaimantRequest& request) {
     const auto held = shard.records.find(request.key);
     ShardCondition condition;
     condition.now = now;
@@ -94,31 +97,31 @@
             return host_->reply(request.from, request.number, decision.reply, table_.version,
                                 &decision.record);
         case RequestDecision::Action::confirm:
-            return confirm(now, shard_id, shard, request, decision.reply);
+            return confirm_record(now, shard_id, shard, request, decision.reply);
         case RequestDecision::Action::write:
             return write(now, shard_id, shard, std::move(decision.record),
                          ReplyTarget{request.from, request.number}, decision.reply);
     }
 }
 
-// Serves the requests that wait for the key, until one of them begins an operation.
-void Replica::serve_queued(Seconds now, ShardId shard_id, const Key& key) {
+// Serves the requests queued on the key until one of them begins an operation.
+void Replica::serve_queued_requests(Seconds now, ShardId shard_id, const Key& key) {
     while (true) {
         const auto shard = shards_.find(shard_id);
-        if (shard == shards_.end() || shard->second.writing.contains(key)) {
+        if (shard == shards_.end() || shard->second.active_operations.contains(key)) {
             return;
         }
-        const auto queue = shard->second.queued.find(key);
-        if (queue == shard->second.queued.end()) {
+        const auto queue = shard->second.queued_requests.find(key);
+        if (queue == shard->second.queued_requests.end()) {
             return;
         }
         const ClaimantRequest next = queue->second.front();
         queue->second.pop_front();
         if (queue->second.empty()) {
-            shard->second.queued.erase(queue);
+            shard->second.queued_requests.erase(queue);
         }
         if (shard->second.open) {
-            serve(now, shard_id, shard->second, next);
+            serve_request(now, shard_id, shard->second, next);
         } else {
             host_->reply(next.from, next.number, Reply::try_again, table_.version, nullptr);
         }
