--- a/src/audit/fleet_audit.hpp
+++ b/src/audit/fleet_audit.hpp
@@ -31,11 +31,11 @@
 
 class FleetAudit {
   public:
-    FleetAudit(FleetAuditHost& host, Seconds every) : host_(host), every_(every) {}
+    FleetAudit(FleetAuditHost& host, Seconds interval) : host_(host), interval_(interval) {}
 
     void lease_acquired(Seconds now,
                         std::optional<std::set<std::string>>
-                            set_raised_alarms);  // the alarms that are raised, if known
+                            raised_alarms);  // the alarms that are raised, if known
     void lease_lost();
     void set_raised_alarms(const std::set<std::string>& keys);
     bool knows_raised_alarms() const {
@@ -48,11 +48,11 @@
 
   private:
     FleetAuditHost& host_;
-    Seconds every_;
-    bool holds_ = false;
-    Seconds next_ = 0;
+    Seconds interval_;
+    bool holds_lease_ = false;
+    Seconds next_audit_ = 0;
     std::optional<std::set<std::string>> raised_alarms_;
-    std::map<std::string, int> seen_;  // audits in a row with that finding
+    std::map<std::string, int> consecutive_findings_;  // audits in a row with that finding
 };
 
 }  // namespace tideline::audit
--- a/src/cluster/cluster_config.cpp
+++ b/src/cluster/cluster_config.cpp
@@ -10,7 +10,7 @@
 namespace tideline::cluster {
 namespace {
 
-constexpr std::size_t kNameMost = 100;  // bytes: names are sent in every message
+constexpr std::size_t kMaxNameBytes = 100;  // bytes: names are sent in every message
 
 void read_membership(Reader& read, const Setting& from, ClusterConfig& cluster_config) {
     MembershipSettings& membership = cluster_config.membership;
@@ -125,9 +125,9 @@
         read.fault(from, "planners is missing; with copies it is needed: { addresses = [ ... ]; }");
     }
     const auto check_length = [&](const char* field, const std::string& name) {
-        if (name.size() > kNameMost) {
+        if (name.size() > kMaxNameBytes) {
             read.fault(from, fmt::format("{}: a name of {} bytes; allowed: up to {} bytes", field,
-                                         name.size(), kNameMost));
+                                         name.size(), kMaxNameBytes));
         }
     };
     check_length("member", cluster_config.name.value);
--- a/src/cluster/cluster_member.cpp
+++ b/src/cluster/cluster_member.cpp
@@ -11,8 +11,9 @@
 using audit::ContentVersion;
 using audit::VersionPart;
 
-constexpr Seconds kReviewPart = 0.1;  // of the audit's grace: from one review to the next
-constexpr Seconds kReviewMost = 1;    // s, from one review to the next
+constexpr Seconds kReviewIntervalInGraces =
+    0.1;                                   // of the audit's grace: from one review to the next
+constexpr Seconds kMaxReviewInterval = 1;  // s, from one review to the next
 
 // The id of a new data folder. Not drawn from the configured seed: a machine that lost its disk
 // and starts with the same seed would draw the same id and be taken for the one that still holds
@@ -109,14 +110,14 @@
               cluster_config_.seeds.size());
 }
 
-void ClusterMember::apply_config(const ClusterConfig& fresh) {
-    membership_.set_settings(fresh.membership, fresh.seeds);
-    version_audit_.set_settings(fresh.version_audit);
-    peer_connections_.set_bounds({fresh.max_connections, fresh.max_frame_bytes});
-    cluster_config_ = fresh;
+void ClusterMember::apply_config(const ClusterConfig& new_config) {
+    membership_.set_settings(new_config.membership, new_config.seeds);
+    version_audit_.set_settings(new_config.version_audit);
+    peer_connections_.set_bounds({new_config.max_connections, new_config.max_frame_bytes});
+    cluster_config_ = new_config;
     publish_state();
     log_.line("cluster configuration reloaded: restart_needed={}",
-              needs_restart(started_config_, fresh) ? "yes" : "no");
+              needs_restart(started_config_, new_config) ? "yes" : "no");
 }
 
 void ClusterMember::leave() {
@@ -126,7 +127,7 @@
     if (leased_tasks_) {
         leased_tasks_->leave();
     }
-    audit_log_.seal(net::clock_now());
+    audit_log_.seal_epoch(net::clock_now());
     membership_.leave(net::clock_now());
 }
 
@@ -155,7 +156,7 @@
         leased_tasks_->ready_endpoints(state_.ready_endpoints());
     }
     if (kind == EndpointListKind::changes) {
-        audit_log_.drained(drains);
+        audit_log_.add_drains(drains);
     }
     state_.set_list_revision(revision);
     version_audit_.set_own_version(net::clock_now(), VersionPart::list,
@@ -188,14 +189,14 @@
     if (leased_tasks_) {
         leased_tasks_->attempted();
     }
-    audit_log_.attempted(state_.on_trial_build(endpoint));
+    audit_log_.add_attempt(state_.on_trial_build(endpoint));
 }
 
 void ClusterMember::publish_state() {
     if (!began_) {
         return;
     }
-    audit::Acting acting;
+    audit::ActingState acting;
     acting.version = {ListRevision{state_.version(VersionPart::list).rank},
                       ReleaseRank{state_.version(VersionPart::release).rank}};
     acting.build = state_.release().build;
@@ -205,7 +206,7 @@
     acting.trial_participation = trial_participation_;
     acting.config_digest = sidecar_config_digest_ + cluster_config_.digest;
     acting.program = TIDELINE_VERSION;
-    audit_log_.set_acting(net::clock_now(), acting);
+    audit_log_.set_acting_state(net::clock_now(), acting);
     membership_.acts_on(net::clock_now(), acting.version);
 }
 
@@ -254,9 +255,10 @@
     log_.line("state transfer requested: part={} from={}", name_of(part), from.value);
 }
 
-void ClusterMember::gossip_exclusion(const Name& name, const Incarnation& incarnation, bool out) {
-    log_.line("member exclusion ruled: name={} excluded={}", name.value, out ? "yes" : "no");
-    membership_.rule(net::clock_now(), name, incarnation, out);
+void ClusterMember::gossip_exclusion(const Name& name, const Incarnation& incarnation,
+                                     bool excluded) {
+    log_.line("member exclusion ruled: name={} excluded={}", name.value, excluded ? "yes" : "no");
+    membership_.rule(net::clock_now(), name, incarnation, excluded);
 }
 
 void ClusterMember::trial_participation(TrialParticipation trial_participation) {
@@ -326,9 +328,10 @@
 
 void ClusterMember::review_versions() {
     version_audit_.tick(net::clock_now());
-    queries_.expire();
+    queries_.expire_requests();
     review_timer_ = loop_.timers.at(
-        net::clock_now() + std::min(kReviewMost, kReviewPart * cluster_config_.version_audit.grace),
+        net::clock_now() + std::min(kMaxReviewInterval,
+                                    kReviewIntervalInGraces * cluster_config_.version_audit.grace),
         [this] { review_versions(); });
 }
 
@@ -343,10 +346,11 @@
     return names;
 }
 
-void ClusterMember::set_slow_start_limit(const EndpointId& endpoint, double most, Seconds valid) {
-    loop_.timers.soon([this, endpoint, most, valid] {
+void ClusterMember::set_slow_start_limit(const EndpointId& endpoint, double max_attempts,
+                                         Seconds valid) {
+    loop_.timers.soon([this, endpoint, max_attempts, valid] {
         if (observed_) {
-            observed_->set_slow_start_limit(endpoint, most, valid);
+            observed_->set_slow_start_limit(endpoint, max_attempts, valid);
         }
     });
 }
--- a/src/cluster/cluster_member.hpp
+++ b/src/cluster/cluster_member.hpp
@@ -46,9 +46,10 @@
     }  // none without replication
     bool settled() const {
         return !replication_agent_ || replication_agent_->is_settled();
-    }                                               // other members know the outcome of all it sent
-    void apply_config(const ClusterConfig& fresh);  // after SIGHUP: what can change at run time
-    void leave();                                   // after SIGTERM: the others are notified
+    }  // other members know the outcome of all it sent
+    void apply_config(
+        const ClusterConfig& new_config);  // after SIGHUP: what can change at run time
+    void leave();                          // after SIGTERM: the others are notified
     // net::FleetObserver
     bool takes_revision(std::int64_t revision) override;
     void endpoint_list_applied(std::int64_t revision, EndpointListKind kind,
@@ -58,26 +59,26 @@
                                  Seconds age) override;
     void attempted(const EndpointId& endpoint) override;
     void voted(Vote vote) override {
-        audit_log_.voted(vote);
+        audit_log_.add_vote(vote);
     }
     void build_condemned() override {
-        audit_log_.build_condemned();
+        audit_log_.add_condemned_build();
     }
 
   private:
     // MembershipHost
-    void ping(const Name& to, PingId no, const Gossip& gossip) override {
-        messenger_.ping(to, no, gossip);
+    void ping(const Name& to, PingId ping_id, const Gossip& gossip) override {
+        messenger_.ping(to, ping_id, gossip);
     }
-    void request_indirect_ping(const Name& helper, PingId no, const Name& target,
+    void request_indirect_ping(const Name& helper, PingId ping_id, const Name& target,
                                const Gossip& gossip) override {
-        messenger_.request_indirect_ping(helper, no, target, gossip);
+        messenger_.request_indirect_ping(helper, ping_id, target, gossip);
     }
-    void acknowledge(const Name& to, PingId no, const Gossip& gossip) override {
-        messenger_.acknowledge(to, no, gossip);
+    void acknowledge(const Name& to, PingId ping_id, const Gossip& gossip) override {
+        messenger_.acknowledge(to, ping_id, gossip);
     }
-    void report_no_answer(const Name& to, PingId no) override {
-        messenger_.report_no_answer(to, no);
+    void report_no_answer(const Name& to, PingId ping_id) override {
+        messenger_.report_no_answer(to, ping_id);
     }
     void request_table(const std::string& address) override {
         messenger_.request_member_table(address);
@@ -91,16 +92,16 @@
     }
     // audit::VersionAuditHost
     void request_versions(const Name& of) override;
-    void request_transfer(const Name& from, audit::VersionPart subject) override;
+    void request_transfer(const Name& from, audit::VersionPart part) override;
     void request_confirmation(const Name& of, audit::VersionPart part,
                               const audit::ContentVersion& version) override {
         messenger_.request_confirmation(of, part, version);
     }
-    void apply_version(audit::VersionPart subject, const audit::ContentVersion& mark) override;
+    void apply_version(audit::VersionPart part, const audit::ContentVersion& version) override;
     void notify_excluded(const Name& name) override {
-        messenger_.refuse(name);
+        messenger_.send_refusal(name);
     }
-    void gossip_exclusion(const Name& name, const Incarnation& incarnation, bool out) override;
+    void gossip_exclusion(const Name& name, const Incarnation& incarnation, bool excluded) override;
     void trial_participation(TrialParticipation trial_participation) override;
     void raise_audit_alarm(const std::string& text) override {
         log_.alarm("audit: {}", text);
@@ -115,7 +116,8 @@
     void send_slow_start_limits(const Name& to, const wire::Paces& limits) override {
         messenger_.send_slow_start_limits(to, limits);
     }
-    void set_slow_start_limit(const EndpointId& endpoint, double most, Seconds valid) override;
+    void set_slow_start_limit(const EndpointId& endpoint, double max_attempts,
+                              Seconds valid) override;
     void on_repair_lease(bool held) override {
         if (replication_agent_) {
             replication_agent_->set_repair_lease(held);
--- a/src/cluster/frame.cpp
+++ b/src/cluster/frame.cpp
@@ -8,14 +8,14 @@
 
 constexpr std::string_view kMagic = "TLF1";
 
-std::string number(std::uint64_t value, std::size_t bytes) {
+std::string encode_number(std::uint64_t value, std::size_t bytes) {
     std::string text;
     for (std::size_t i = 0; i < bytes; ++i) {
         text += static_cast<char>(value >> (8 * i) & 0xff);
     }
     return text;
 }
-std::uint64_t number_in(std::string_view bytes) {
+std::uint64_t decode_number(std::string_view bytes) {
     std::uint64_t value = 0;
     for (std::size_t i = bytes.size(); i-- > 0;) {
         value = value << 8 | static_cast<unsigned char>(bytes[i]);
@@ -24,7 +24,7 @@
 }
 // The length is part of the checksum: otherwise a frame with a damaged length could hold a body
 // that fits its checksum.
-std::uint64_t sum_of(std::string_view body) {
+std::uint64_t checksum_of(std::string_view body) {
     return XXH3_64bits_withSeed(body.data(), body.size(), 0x746c6631U + body.size());
 }
 
@@ -32,39 +32,39 @@
 
 std::string frame_of(std::string_view body) {
     std::string frame(kMagic);
-    frame += number(body.size(), 4);
-    frame += number(sum_of(body), 8);
+    frame += encode_number(body.size(), 4);
+    frame += encode_number(checksum_of(body), 8);
     frame += body;
     return frame;
 }
 
-FrameRead next_frame(std::string_view bytes, std::size_t most, std::string_view& body,
-                     std::size_t& whole, std::string& why) {
-    const std::string_view begun = bytes.substr(0, kMagic.size());
-    if (begun != kMagic.substr(0, begun.size())) {
-        why = "no frame: it does not begin with \"TLF1\"";
+FrameRead next_frame(std::string_view bytes, std::size_t max_body_bytes, std::string_view& body,
+                     std::size_t& frame_bytes, std::string& error) {
+    const std::string_view prefix = bytes.substr(0, kMagic.size());
+    if (prefix != kMagic.substr(0, prefix.size())) {
+        error = "no frame: it does not begin with \"TLF1\"";
         return FrameRead::bad;
     }
     if (bytes.size() < 8) {
         return FrameRead::more;
     }
-    const std::uint64_t length = number_in(bytes.substr(4, 4));
+    const std::uint64_t length = decode_number(bytes.substr(4, 4));
     // A length that was damaged, or sent in bad faith, would otherwise be waited for, or fill the
     // memory.
-    if (length > most) {
-        why =
-            "a frame of " + std::to_string(length) + " bytes, " + std::to_string(most) + " at most";
+    if (length > max_body_bytes) {
+        error = "a frame of " + std::to_string(length) + " bytes, " +
+                std::to_string(max_body_bytes) + " at most";
         return FrameRead::bad;
     }
-    if (bytes.size() < kFrameHead + length) {
+    if (bytes.size() < kFrameHeaderBytes + length) {
         return FrameRead::more;
     }
-    body = bytes.substr(kFrameHead, length);
-    whole = kFrameHead + length;
-    if (sum_of(body) == number_in(bytes.substr(8, 8))) {
+    body = bytes.substr(kFrameHeaderBytes, length);
+    frame_bytes = kFrameHeaderBytes + length;
+    if (checksum_of(body) == decode_number(bytes.substr(8, 8))) {
         return FrameRead::whole;
     }
-    why = "a frame whose checksum is wrong";
+    error = "a frame whose checksum is wrong";
     return FrameRead::bad;
 }
 
--- a/src/cluster/frame.hpp
+++ b/src/cluster/frame.hpp
@@ -7,7 +7,7 @@
 
 namespace tideline::cluster {
 
-constexpr std::size_t kFrameHead = 16;  // bytes of the header
+constexpr std::size_t kFrameHeaderBytes = 16;  // bytes of the header
 
 enum class FrameRead {
     whole,
@@ -19,7 +19,7 @@
 // Reads the first frame of `bytes`. Where it is whole, sets `body`, which points into `bytes`, and
 // `whole`, the bytes that the frame takes up; where it is bad, sets `why`. `most`: the longest body
 // that is accepted, in bytes.
-FrameRead next_frame(std::string_view bytes, std::size_t most, std::string_view& body,
-                     std::size_t& whole, std::string& why);
+FrameRead next_frame(std::string_view bytes, std::size_t max_body_bytes, std::string_view& body,
+                     std::size_t& frame_bytes, std::string& error);
 
 }  // namespace tideline::cluster
--- a/src/cluster/leased_tasks.cpp
+++ b/src/cluster/leased_tasks.cpp
@@ -198,14 +198,14 @@
 double LeasedTasks::recent_attempts() const {
     return recent_attempts_.since(net::clock_now() - window_);
 }
-void LeasedTasks::allocate(const Name& member, const EndpointId& endpoint, double most,
+void LeasedTasks::allocate(const Name& member, const EndpointId& endpoint, double max_attempts,
                            Seconds valid) {
     if (member == self_) {
-        return owner_.set_slow_start_limit(endpoint, most, valid);
+        return owner_.set_slow_start_limit(endpoint, max_attempts, valid);
     }
     wire::PodPace& limit = *allocations_[member].add_pods();
     limit.set_pod(endpoint.value);
-    limit.set_most(most);
+    limit.set_most(max_attempts);
     limit.set_valid(valid);
 }
 void LeasedTasks::allocate_slow_start() {
--- a/src/cluster/leased_tasks.hpp
+++ b/src/cluster/leased_tasks.hpp
@@ -22,7 +22,7 @@
         virtual void request_audit() = 0;                       // answered by gathered()
         virtual std::vector<Name> present_members() const = 0;  // the others that are present
         virtual void send_slow_start_limits(const Name& to, const wire::Paces& limits) = 0;
-        virtual void set_slow_start_limit(const EndpointId& endpoint, double most,
+        virtual void set_slow_start_limit(const EndpointId& endpoint, double max_attempts,
                                           Seconds valid) = 0;  // of this member itself
         // Replication: the lease on its coordination, and the table that its holders wrote.
         virtual void on_repair_lease(bool held) = 0;
@@ -53,18 +53,18 @@
         return repair_coordinator_;
     }
     double recent_attempts() const;
-    void receive_recent_attempts(const Name& by, double in_window);
+    void receive_recent_attempts(const Name& by, double attempts);
 
   private:
     // PlannerClient::Owner
-    void on_lease_acquired(const lease::LeaseName& lease, lease::FencingToken fence) override;
-    void on_lease_lost(const lease::LeaseName& lease, lease::FencingToken fence) override;
+    void on_lease_acquired(const lease::LeaseName& lease, lease::FencingToken token) override;
+    void on_lease_lost(const lease::LeaseName& lease, lease::FencingToken token) override;
     void on_alarm_committed(const lease::LeaseName& lease, const std::string& key, bool raised,
                             bool changed) override;
     void on_raised_alarms(const lease::LeaseName& lease,
                           const std::set<std::string>& keys) override;
     void on_holder_changed(const lease::LeaseName& lease, const Name& member,
-                           lease::FencingToken fence, std::uint64_t number) override;
+                           lease::FencingToken token, std::uint64_t number) override;
     void on_document_written(const lease::LeaseName& lease, std::uint64_t number,
                              bool done) override;
     void on_document_read(const lease::LeaseName& lease, std::uint64_t number,
@@ -74,7 +74,7 @@
     void raise_alarm(const std::string& key, const std::string& text) override;
     void clear_alarm(const std::string& key) override;
     // slow_start::SlowStartCoordinatorHost
-    void allocate(const Name& member, const EndpointId& endpoint, double most,
+    void allocate(const Name& member, const EndpointId& endpoint, double max_attempts,
                   Seconds valid) override;
 
     void allocate_slow_start();
--- a/src/cluster/member_messenger.cpp
+++ b/src/cluster/member_messenger.cpp
@@ -100,7 +100,7 @@
     send(to, message);
 }
 
-void MemberMessenger::refuse(const Name& name) {
+void MemberMessenger::send_refusal(const Name& name) {
     wire::Word message = new_message();
     message.mutable_refusal();
     send(name, message);
@@ -126,9 +126,9 @@
     send(to, message);
 }
 
-void MemberMessenger::report_sent_of_late(const Name& to, double in_window) {
+void MemberMessenger::report_recent_attempts(const Name& to, double attempts) {
     wire::Word message = new_message();
-    message.mutable_sent_of_late()->set_in_window(in_window);
+    message.mutable_sent_of_late()->set_in_window(attempts);
     send(to, message);
 }
 
--- a/src/cluster/member_messenger.hpp
+++ b/src/cluster/member_messenger.hpp
@@ -47,12 +47,12 @@
                               const audit::ContentVersion& version);
     void confirm(const Name& to, std::uint32_t wire_part, const audit::ContentVersion& version,
                  bool confirmed);
-    void refuse(const Name& name);
+    void send_refusal(const Name& name);
     void request_record(const Name& of, std::uint64_t query);
     void send_record(const Name& to, std::uint64_t query);
 
     void send_slow_start_limits(const Name& to, const wire::Paces& limits);
-    void report_sent_of_late(const Name& to, double in_window);
+    void report_recent_attempts(const Name& to, double attempts);
     void send_replication(const Name& to, const wire::Holding& holding);
     void reply_replication_status(LinkId link, const wire::Holdings& status);
 
--- a/src/cluster/member_query.cpp
+++ b/src/cluster/member_query.cpp
@@ -6,15 +6,15 @@
 namespace tideline::cluster {
 namespace {
 
-constexpr std::size_t kFrameMost =
+constexpr std::size_t kMaxFrameBytes =
     64 * 1024 * 1024;  // bytes: the most that a configuration may allow
 
-wire::Word asking(bool audit) {
+wire::Word make_request(bool audit) {
     wire::Word message;
     message.mutable_ask_fleet()->set_audit(audit);
     return message;
 }
-wire::Word asking(const wire::AskHoldings& what) {
+wire::Word make_request(const wire::AskHoldings& what) {
     wire::Word message;
     *message.mutable_ask_holdings() = what;
     return message;
@@ -24,7 +24,7 @@
 
 QueryConnection::QueryConnection(net::EventLoop& loop, const net::Address& address,
                                  const wire::Word& first)
-    : TcpConnection(loop, kFrameMost + kFrameHead) {
+    : TcpConnection(loop, kMaxFrameBytes + kFrameHeaderBytes) {
     open(address);
     send(first);
 }
@@ -34,7 +34,7 @@
 void QueryConnection::on_received() {
     std::string_view body;
     for (std::size_t used = 0; !finished;) {
-        const FrameRead read = next_frame(in_.all(), kFrameMost, body, used, error);
+        const FrameRead read = next_frame(in_.all(), kMaxFrameBytes, body, used, error);
         if (read == FrameRead::more) {
             return;
         }
@@ -57,7 +57,7 @@
 }
 
 MembersQuery::MembersQuery(net::EventLoop& loop, const net::Address& address, bool audit)
-    : QueryConnection(loop, address, asking(audit)) {}
+    : QueryConnection(loop, address, make_request(audit)) {}
 bool MembersQuery::handle(const wire::Word& message) {
     if (!message.has_fleet()) {
         return false;
@@ -74,7 +74,7 @@
 
 ReplicationQuery::ReplicationQuery(net::EventLoop& loop, const net::Address& address,
                                    const wire::AskHoldings& what)
-    : QueryConnection(loop, address, asking(what)) {}
+    : QueryConnection(loop, address, make_request(what)) {}
 bool ReplicationQuery::handle(const wire::Word& message) {
     if (!message.has_holdings()) {
         return false;
--- a/src/cluster/member_store.cpp
+++ b/src/cluster/member_store.cpp
@@ -16,7 +16,7 @@
 namespace fs = std::filesystem;
 using nlohmann::json;
 
-constexpr std::size_t kEpochsMost =
+constexpr std::size_t kMaxEpochFileBytes =
     4 * 1024 * 1024;  // bytes: some 20,000 epochs; then the older file goes
 
 }  // namespace
@@ -35,23 +35,23 @@
     const std::string path = folder_ + "/member";
     disk_ = Disk{fresh_disk};
     if (std::ifstream file(path); file) {
-        const json kept = json::parse(file, nullptr, false);
-        const bool whole = kept.is_object() && kept.contains("member") &&
-                           kept["member"].is_string() && kept.contains("disk") &&
-                           kept["disk"].is_number_unsigned() && kept.contains("life") &&
-                           kept["life"].is_number_unsigned();
+        const json stored = json::parse(file, nullptr, false);
+        const bool valid = stored.is_object() && stored.contains("member") &&
+                           stored["member"].is_string() && stored.contains("disk") &&
+                           stored["disk"].is_number_unsigned() && stored.contains("life") &&
+                           stored["life"].is_number_unsigned();
         // Two members that share a folder would each take the other's incarnation for its own.
-        if (whole && kept["member"] != name_.value) {
+        if (valid && stored["member"] != name_.value) {
             throw std::runtime_error(folder_ + " belongs to member " +
-                                     kept["member"].get<std::string>());
+                                     stored["member"].get<std::string>());
         }
-        if (whole) {
-            disk_ = Disk{kept["disk"].get<std::uint64_t>()};
+        if (valid) {
+            disk_ = Disk{stored["disk"].get<std::uint64_t>()};
             incarnation_ =
-                Incarnation{std::max(incarnation_.value, kept["life"].get<std::uint64_t>() + 1)};
+                Incarnation{std::max(incarnation_.value, stored["life"].get<std::uint64_t>() + 1)};
             read_epochs(name);
         } else {
-            found_ = path + " can't be read: begun anew, as after the loss of a disk";
+            damage_ = path + " can't be read: begun anew, as after the loss of a disk";
         }
     }
     // A file that was cut off could not be read: it is written beside and renamed when whole.
@@ -72,28 +72,29 @@
             text.append(std::istreambuf_iterator<char>(file), {});
         }
     }
-    std::string_view left = text;
-    while (!left.empty()) {
+    std::string_view unread = text;
+    while (!unread.empty()) {
         std::string_view body;
-        std::size_t whole = 0;
-        std::string why;
+        std::size_t frame_bytes = 0;
+        std::string error_text;
         wire::Word message;
-        const FrameRead read = next_frame(left, kEpochsMost, body, whole, why);
+        const FrameRead read =
+            next_frame(unread, kMaxEpochFileBytes, body, frame_bytes, error_text);
         if (read == FrameRead::more) {
-            found_ = "the last epoch of " + path + " was cut off: it is left out";
+            damage_ = "the last epoch of " + path + " was cut off: it is left out";
             break;
         }
         if (read == FrameRead::bad || !read_word(body, message) || !message.has_record() ||
             message.record().epochs_size() != 1 || message.record().name() != name.value) {
-            found_ = path + " is damaged at byte " + std::to_string(text.size() - left.size()) +
-                     ": what follows is left out";
+            damage_ = path + " is damaged at byte " + std::to_string(text.size() - unread.size()) +
+                      ": what follows is left out";
             break;
         }
         root_ = message.record().epochs(0).digest();
-        left.remove_prefix(whole);
+        unread.remove_prefix(frame_bytes);
     }
     // What can't be read would hide all that is written behind it.
-    if (!left.empty()) {
+    if (!unread.empty()) {
         fs::rename(path, path + ".damaged");
     }
     std::error_code error;
@@ -105,7 +106,7 @@
         return true;
     }
     const std::string path = folder_ + "/epochs";
-    if (size_ > kEpochsMost) {
+    if (size_ > kMaxEpochFileBytes) {
         std::error_code error;
         fs::rename(path, path + ".old", error);
         size_ = 0;
--- a/src/cluster/member_store.hpp
+++ b/src/cluster/member_store.hpp
@@ -24,7 +24,7 @@
         return root_;
     }  // the last seal of former incarnations
     const std::string& found() const {
-        return found_;
+        return damage_;
     }  // what was damaged in the folder, as a line; or empty
     // Appends the epoch. False where it could not be written.
     bool keep(const audit::Epoch& epoch);
@@ -36,7 +36,7 @@
     Incarnation incarnation_;
     Disk disk_;
     audit::Digest root_;
-    std::string found_;
+    std::string damage_;
     std::size_t size_ = 0;
 };
 
--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -8,15 +8,15 @@
 namespace {
 
 // Steps of health for a member that stalled for longer than a period.
-constexpr int kStallSteps = 2;
+constexpr int kStallHealthPenalty = 2;
 // Of the wait for an answer: a helper reports in time that none came.
-constexpr double kIndirectWait = 0.8;
+constexpr double kIndirectTimeoutFactor = 0.8;
 // Periods: a whole table is sent to one member no more often.
-constexpr double kTablePeriods = 1;
+constexpr double kMinTableIntervalInPeriods = 1;
 // Times that another claimed this name, after which two processes are the likely cause.
-constexpr int kClaimsNoted = 3;
+constexpr int kNameClaimsBeforeAlarm = 3;
 // Of the time between requests for a table: the shortest; the longest is 1 more.
-constexpr double kShortestRejoin = 0.5;
+constexpr double kMinRejoinFactor = 0.5;
 
 }  // namespace
 
@@ -75,7 +75,7 @@
             detector_.degrade_health(1);  // whoever is accused may be slow itself
             break;
         case swim::SelfMerge::name_claimed:
-            if (++raised_ == kClaimsNoted) {
+            if (++name_claims_ == kNameClaimsBeforeAlarm) {
                 host_->raise_membership_alarm(
                     "member name claimed by another process: name=" + self_.name.value +
                     " address=" + gossip_entry.address);
@@ -175,7 +175,7 @@
     if (left_) {
         return;
     }
-    const auto probe = detector_.start(now, settings_.answer_wait, table_, random_);
+    const auto probe = detector_.start_probe(now, settings_.answer_wait, table_, random_);
     if (probe) {
         host_->ping(probe->target, probe->id, gossip_for(probe->target));
     }
@@ -190,7 +190,7 @@
 }
 
 void Membership::conclude_probe(Seconds now) {
-    const auto silent = detector_.conclude();
+    const auto silent = detector_.conclude_probe();
     if (!silent) {
         return;
     }
@@ -200,33 +200,35 @@
     }
 }
 
-void Membership::ping_received(Seconds now, const Entry& from, PingId no, const Gossip& gossip) {
+void Membership::ping_received(Seconds now, const Entry& from, PingId ping_id,
+                               const Gossip& gossip) {
     heard_from(now, from);
     merge_all(now, gossip, from.name);
     if (!left_) {
-        host_->acknowledge(from.name, no, gossip_for(from.name));
+        host_->acknowledge(from.name, ping_id, gossip_for(from.name));
     }
     update_due();
 }
 
-void Membership::indirect_ping_requested(Seconds now, const Entry& from, PingId no,
+void Membership::indirect_ping_requested(Seconds now, const Entry& from, PingId ping_id,
                                          const Name& target, const Gossip& gossip) {
     heard_from(now, from);
     merge_all(now, gossip, from.name);
     if (left_ || target == self_.name || !table_.find(target)) {
-        return host_->report_no_answer(from.name, no);
+        return host_->report_no_answer(from.name, ping_id);
     }
     const PingId own = detector_.new_ping_id();
-    indirect_pings_.add(own, {from.name, no, now + kIndirectWait * settings_.answer_wait});
+    indirect_pings_.add(own,
+                        {from.name, ping_id, now + kIndirectTimeoutFactor * settings_.answer_wait});
     host_->ping(target, own, gossip_for(target));
     update_due();
 }
 
-void Membership::answered(Seconds now, const Entry& from, PingId no, const Gossip& gossip) {
+void Membership::answered(Seconds now, const Entry& from, PingId ping_id, const Gossip& gossip) {
     heard_from(now, from);
     merge_all(now, gossip, from.name);
-    detector_.answered(no);
-    if (const auto ping = indirect_pings_.take(no)) {
+    detector_.answered(ping_id);
+    if (const auto ping = indirect_pings_.take(ping_id)) {
         host_->acknowledge(ping->requester, ping->requested_id, gossip_for(ping->requester));
     }
     update_due();
@@ -240,8 +242,8 @@
 
 // --- Tables: joining, and finding each other again after a partition
 void Membership::send_table(Seconds now, const Name& to, bool wants_back) {
-    const auto parts = table_exchange_.parts_for(now, to, kTablePeriods * settings_.period, self_,
-                                                 table_, too_old(now));
+    const auto parts = table_exchange_.parts_for(
+        now, to, kMinTableIntervalInPeriods * settings_.period, self_, table_, too_old(now));
     for (std::size_t i = 0; i < parts.size(); ++i) {
         const bool last = i + 1 == parts.size();
         host_->send_table(to, parts[i], last && wants_back);
@@ -286,13 +288,14 @@
 }
 
 // --- This member's own
-void Membership::rule(Seconds now, const Name& name, const Incarnation& incarnation, bool out) {
+void Membership::rule(Seconds now, const Name& name, const Incarnation& incarnation,
+                      bool excluded) {
     const Entry* known = table_.find(name);
-    if (!known || known->incarnation != incarnation || known->excluded == out) {
+    if (!known || known->incarnation != incarnation || known->excluded == excluded) {
         return;
     }
     Entry entry = *known;
-    entry.excluded = out;
+    entry.excluded = excluded;
     ++entry.ruling_number;
     put(now, entry);
 }
@@ -320,8 +323,8 @@
 // A member that stalled finds all its pings unanswered and all suspicions expired, though nobody
 // else did anything wrong. What it waited for meanwhile counts against itself.
 void Membership::discount_stall(Seconds late) {
-    detector_.degrade_health(kStallSteps);
-    detector_.cancel();
+    detector_.degrade_health(kStallHealthPenalty);
+    detector_.cancel_probe();
     suspicions_.postpone(late);
 }
 
@@ -344,7 +347,7 @@
     declare_gone(now);
     if (now >= next_regain_) {
         request_table();
-        next_regain_ = now + settings_.regain_every * (kShortestRejoin + random_.draw());
+        next_regain_ = now + settings_.regain_every * (kMinRejoinFactor + random_.draw());
     }
     update_due();
 }
--- a/src/cluster/membership.hpp
+++ b/src/cluster/membership.hpp
@@ -27,11 +27,11 @@
 class MembershipHost {
   public:
     virtual ~MembershipHost() = default;
-    virtual void ping(const Name& to, PingId no, const Gossip& gossip) = 0;
-    virtual void request_indirect_ping(const Name& helper, PingId no, const Name& target,
+    virtual void ping(const Name& to, PingId ping_id, const Gossip& gossip) = 0;
+    virtual void request_indirect_ping(const Name& helper, PingId ping_id, const Name& target,
                                        const Gossip& gossip) = 0;
-    virtual void acknowledge(const Name& to, PingId no, const Gossip& gossip) = 0;
-    virtual void report_no_answer(const Name& to, PingId no) = 0;
+    virtual void acknowledge(const Name& to, PingId ping_id, const Gossip& gossip) = 0;
+    virtual void report_no_answer(const Name& to, PingId ping_id) = 0;
     virtual void request_table(
         const std::string& address) = 0;  // asks whichever member is there for its table
     virtual void send_table(const Name& to, const Gossip& part, bool wants_back) = 0;
@@ -64,13 +64,13 @@
     void tick(Seconds now);
 
     // Messages received. `from`: the sender's own entry.
-    void ping_received(Seconds now, const Entry& from, PingId no, const Gossip& gossip);
-    void indirect_ping_requested(Seconds now, const Entry& from, PingId no, const Name& target,
+    void ping_received(Seconds now, const Entry& from, PingId ping_id, const Gossip& gossip);
+    void indirect_ping_requested(Seconds now, const Entry& from, PingId ping_id, const Name& target,
                                  const Gossip& gossip);
-    void answered(Seconds now, const Entry& from, PingId no, const Gossip& gossip);
-    void no_answer_reported(Seconds now, const Entry& from, PingId no) {
+    void answered(Seconds now, const Entry& from, PingId ping_id, const Gossip& gossip);
+    void no_answer_reported(Seconds now, const Entry& from, PingId ping_id) {
         heard_from(now, from);
-        detector_.not_answered(no);
+        detector_.not_answered(ping_id);
     }
     void table_requested(Seconds now, const Entry& from);
     void table_received(Seconds now, const Entry& from, const Gossip& part, bool wants_back);
@@ -81,7 +81,7 @@
         self_.version = version;
     }
     void rule(Seconds now, const Name& name, const Incarnation& incarnation,
-              bool out);  // it is excluded, or readmitted
+              bool excluded);  // it is excluded, or readmitted
     void leave(Seconds now);
     // Settings that were read anew while the program runs.
     void set_settings(const MembershipSettings& settings, std::vector<std::string> seeds) {
@@ -102,8 +102,8 @@
     int health() const {
         return detector_.health();
     }  // 0: this member is not slow, as far as it can tell
-    int raised() const {
-        return raised_;
+    int name_claims() const {
+        return name_claims_;
     }  // how often another claimed this name
 
   private:
@@ -154,7 +154,7 @@
     Seconds next_period_ = 0;
     Seconds next_regain_ = 0;
     Seconds due_ = 0;
-    int raised_ = 0;
+    int name_claims_ = 0;
     bool left_ = false;
 };
 
--- a/src/cluster/message_codec.cpp
+++ b/src/cluster/message_codec.cpp
@@ -22,7 +22,7 @@
             from.back_votes(), from.marks(),   from.drains()};
 }
 void put(const audit::Epoch& epoch, wire::Epoch& to) {
-    const audit::Acting& acting = epoch.acting;
+    const audit::ActingState& acting = epoch.acting;
     to.set_number(epoch.number);
     to.set_from(epoch.from);
     to.set_to(epoch.to);
@@ -40,8 +40,8 @@
 }
 // A number outside its enum is read as the last enumerator.
 template <class Kind>
-Kind within(std::uint32_t value, Kind most) {
-    return static_cast<Kind>(std::min(value, static_cast<std::uint32_t>(most)));
+Kind clamp_enum(std::uint32_t value, Kind last) {
+    return static_cast<Kind>(std::min(value, static_cast<std::uint32_t>(last)));
 }
 audit::Epoch epoch_from(const wire::Epoch& from) {
     audit::Epoch epoch;
@@ -49,13 +49,13 @@
     epoch.from = from.from();
     epoch.to = from.to();
     epoch.digest = from.digest();
-    audit::Acting& acting = epoch.acting;
+    audit::ActingState& acting = epoch.acting;
     acting.version = {ListRevision{from.list()}, ReleaseRank{from.news()}};
     acting.build = Build{from.build()};
     acting.stage = Stage{from.stage()};
-    acting.phase = within(from.phase(), Phase::withdrawn);
+    acting.phase = clamp_enum(from.phase(), Phase::withdrawn);
     acting.cap = from.cap();
-    acting.trial_participation = within(from.stand(), TrialParticipation::no_trial);
+    acting.trial_participation = clamp_enum(from.stand(), TrialParticipation::no_trial);
     acting.config_digest = from.told();
     acting.program = from.program();
     epoch.counts = counts_from(from.counts());
@@ -83,7 +83,7 @@
     entry.name = Name{from.name()};
     entry.incarnation = Incarnation{from.life()};
     entry.refutation_count = RefutationCount{from.turn()};
-    entry.state = within(from.standing(), MemberState::left);
+    entry.state = clamp_enum(from.standing(), MemberState::left);
     entry.suspected_by = Name{from.by()};
     entry.address = from.address();
     entry.place = Place{from.place()};
@@ -114,7 +114,7 @@
     to.set_disk(record.disk.value);
     to.set_root(record.root);
     if (record.fold) {
-        const audit::Fold& fold = *record.fold;
+        const audit::FoldedEpochs& fold = *record.fold;
         wire::Fold& into = *to.mutable_fold();
         into.set_epochs(fold.epochs);
         into.set_last(fold.last);
@@ -136,7 +136,7 @@
     record.root = from.root();
     if (from.has_fold()) {
         const wire::Fold& fold = from.fold();
-        record.fold = audit::Fold{
+        record.fold = audit::FoldedEpochs{
             fold.epochs(), fold.last(), fold.from(), fold.to(), counts_from(fold.counts()),
             fold.digest()};
     }
--- a/src/cluster/message_receiver.cpp
+++ b/src/cluster/message_receiver.cpp
@@ -27,7 +27,7 @@
     // The membership first: it has to know the sender before anything else refers to it.
     const Seconds now = net::clock_now();
     dispatch_to_membership(now, from, message);
-    sender_heard(now, from, message.from());
+    handle_sender(now, from, message.from());
     dispatch_audit_message(now, from, message);
     dispatch_task_message(from, message);
     return true;
@@ -74,13 +74,13 @@
     messenger_.reply_replication_status(link, none);
 }
 
-void MessageReceiver::sender_heard(Seconds now, const Entry& from, const wire::From& sender) {
+void MessageReceiver::handle_sender(Seconds now, const Entry& from, const wire::From& sender) {
     queries_.member_heard(now, from.name);
     version_audit_.on_peer_version(now, from.name, from.incarnation,
                                    content_version_from(sender.list()),
                                    content_version_from(sender.news()));
     const std::string fault =
-        heads_.shown(from.name, from.incarnation, sender.head_number(), sender.head());
+        heads_.observe_seal(from.name, from.incarnation, sender.head_number(), sender.head());
     if (!fault.empty()) {
         log_.alarm("audit record fault: member={} fault='{}'", from.name.value, fault);
     }
@@ -95,10 +95,10 @@
             }
             break;
         case wire::Word::kHandOver:
-            transfer_received(from.name, message.hand_over());
+            handle_transfer(from.name, message.hand_over());
             break;
         case wire::Word::kAskVouch:
-            confirmation_requested(from.name, message.ask_vouch());
+            handle_confirmation_request(from.name, message.ask_vouch());
             break;
         case wire::Word::kVouch:
             version_audit_.confirmation_received(
@@ -119,7 +119,7 @@
     }
 }
 
-void MessageReceiver::confirmation_requested(const Name& by, const wire::AskVouch& request) {
+void MessageReceiver::handle_confirmation_request(const Name& by, const wire::AskVouch& request) {
     const ContentVersion version = content_version_from(request.mark());
     const bool confirmed = version_audit_.confirms(version_part_from(request.subject()), version);
     messenger_.confirm(by, request.subject(), version, confirmed);
@@ -135,7 +135,7 @@
         case wire::Word::kPaces:
             if (leased_tasks_ &&
                 leased_tasks_->receive_slow_start_limits(from.name, message.paces())) {
-                messenger_.report_sent_of_late(from.name, leased_tasks_->recent_attempts());
+                messenger_.report_recent_attempts(from.name, leased_tasks_->recent_attempts());
             }
             break;
         case wire::Word::kSentOfLate:
@@ -149,7 +149,7 @@
     }
 }
 
-void MessageReceiver::transfer_received(const Name& by, const wire::HandOver& transfer) {
+void MessageReceiver::handle_transfer(const Name& by, const wire::HandOver& transfer) {
     switch (transfers_.receive(transfer)) {
         case TransferCheck::malformed:
             return;
--- a/src/cluster/message_receiver.hpp
+++ b/src/cluster/message_receiver.hpp
@@ -44,11 +44,11 @@
   private:
     void answer_replication_query(LinkId link, const wire::AskHoldings& query);
     void dispatch_to_membership(Seconds now, const Entry& from, const wire::Word& message);
-    void sender_heard(Seconds now, const Entry& from, const wire::From& sender);
+    void handle_sender(Seconds now, const Entry& from, const wire::From& sender);
     void dispatch_audit_message(Seconds now, const Entry& from, const wire::Word& message);
     void dispatch_task_message(const Entry& from, const wire::Word& message);
-    void confirmation_requested(const Name& by, const wire::AskVouch& request);
-    void transfer_received(const Name& by, const wire::HandOver& transfer);
+    void handle_confirmation_request(const Name& by, const wire::AskVouch& request);
+    void handle_transfer(const Name& by, const wire::HandOver& transfer);
 
     net::Log& log_;
     PeerConnections& connections_;
--- a/src/cluster/peer_connections.cpp
+++ b/src/cluster/peer_connections.cpp
@@ -8,13 +8,13 @@
 namespace tideline::cluster {
 namespace {
 
-constexpr Seconds kFirstMessage = 2;  // s: whoever connects sends a message at once
-constexpr Seconds kIdle = 30;         // s: a connection unused for longer costs more than a new one
-constexpr Seconds kStuck = 5;         // s: written to and silent for longer, it is taken for cut
-constexpr Seconds kHalfFrame = 8;     // s: a frame that was begun; 3 s links deliver one in less
-constexpr Seconds kTendEvery = 1;     // s: how often that is looked at
+constexpr Seconds kFirstMessageTimeout = 2;  // s: whoever connects sends a message at once
+constexpr Seconds kIdleTimeout = 30;  // s: a connection unused for longer costs more than a new one
+constexpr Seconds kAnswerTimeout = 5;  // s: written to and silent for longer, it is taken for cut
+constexpr Seconds kFrameTimeout = 8;   // s: a frame that was begun; 3 s links deliver one in less
+constexpr Seconds kMaintenanceInterval = 1;  // s: how often that is looked at
 
-bool wants_answer(const wire::Word& message) {
+bool expects_answer(const wire::Word& message) {
     return message.has_ping() || message.has_ask_ping() || message.has_knock() ||
            message.has_want() || message.has_ask_vouch() || message.has_ask_record() ||
            message.has_lease_ask() || message.holding().has_ask() || message.holding().has_copy() ||
@@ -25,63 +25,63 @@
 
 }  // namespace
 
-class PeerConnections::TcpConnection : public net::TcpConnection {
+class PeerConnections::Link : public net::TcpConnection {
   public:
-    TcpConnection(PeerConnections& all, bool dialled)
-        : net::TcpConnection(all.loop_, all.bounds_.max_frame_bytes + kFrameHead),
-          used(net::clock_now()),
-          all_(all),
-          dialled_(dialled) {
-        out_.bound(2 * (all.bounds_.max_frame_bytes + kFrameHead));
-    }
-    LinkId no;
+    Link(PeerConnections& all, bool outgoing)
+        : net::TcpConnection(all.loop_, all.bounds_.max_frame_bytes + kFrameHeaderBytes),
+          last_used(net::clock_now()),
+          connections_(all),
+          outgoing_(outgoing) {
+        out_.bound(2 * (all.bounds_.max_frame_bytes + kFrameHeaderBytes));
+    }
+    LinkId id;
     Name name;
-    bool dialled() const {
-        return dialled_;
+    bool outgoing() const {
+        return outgoing_;
     }
-    Seconds used;             // last written to or heard
-    Seconds waits_since = 0;  // written to, and nothing heard since; 0: not so
-    Seconds begun = 0;        // a frame that is not yet whole; 0: none
-    bool spoke = false;
+    Seconds last_used;           // last written to or heard
+    Seconds awaiting_since = 0;  // written to, and nothing heard since; 0: not so
+    Seconds frame_begun_at = 0;  // a frame that is not yet whole; 0: none
+    bool received_message = false;
 
   protected:
     void on_received() override {
         const Seconds now = net::clock_now();
-        used = now;
-        waits_since = 0;
+        last_used = now;
+        awaiting_since = 0;
         // The owner may close this connection while it handles a message.
         for (std::string_view body; !closed();) {
-            std::size_t whole = 0;
-            std::string why;
-            const FrameRead read =
-                next_frame(in_.all(), all_.bounds_.max_frame_bytes, body, whole, why);
+            std::size_t frame_bytes = 0;
+            std::string error;
+            const FrameRead read = next_frame(in_.all(), connections_.bounds_.max_frame_bytes, body,
+                                              frame_bytes, error);
             wire::Word message;
             if (read == FrameRead::more) {
-                begun = in_.empty() ? 0 : begun > 0 ? begun : now;
+                frame_begun_at = in_.empty() ? 0 : frame_begun_at > 0 ? frame_begun_at : now;
                 return;
             }
             if (read == FrameRead::whole && !read_word(body, message)) {
-                why = "a frame without a message";
+                error = "a frame without a message";
             }
-            if (!why.empty()) {
+            if (!error.empty()) {
                 const std::string peer = name.value.empty() ? "unknown" : name.value;
-                all_.owner_.log_message(
-                    fmt::format("connection closed: peer={} received='{}'", peer, why));
-                return all_.drop(no, true);
+                connections_.owner_.log_message(
+                    fmt::format("connection closed: peer={} received='{}'", peer, error));
+                return connections_.close_link(id, true);
             }
-            in_.drop(whole);
-            begun = 0;
-            spoke = true;
-            all_.owner_.on_message(no, message);
+            in_.drop(frame_bytes);
+            frame_begun_at = 0;
+            received_message = true;
+            connections_.owner_.on_message(id, message);
         }
     }
     void on_closed() override {
-        all_.drop(no, true);
+        connections_.close_link(id, true);
     }
 
   private:
-    PeerConnections& all_;
-    const bool dialled_;
+    PeerConnections& connections_;
+    const bool outgoing_;
 };
 
 PeerConnections::PeerConnections(net::EventLoop& loop, Owner& owner, const Bounds& bounds,
@@ -92,9 +92,9 @@
       own_host_(own_host),
       listener_(loop, [this](int fd) {
           make_room();
-          auto link = std::make_unique<TcpConnection>(*this, false);
-          TcpConnection& its = *link;
-          its.no = LinkId{links_.add(std::move(link))};
+          auto link = std::make_unique<Link>(*this, false);
+          Link& its = *link;
+          its.id = LinkId{links_.add(std::move(link))};
           its.adopt(fd);
       }) {
     maintain();
@@ -107,7 +107,7 @@
     return listener_.listen(address);
 }
 
-PeerConnections::TcpConnection* PeerConnections::find(LinkId link) {
+PeerConnections::Link* PeerConnections::find(LinkId link) {
     auto* found = links_.find(link.value);
     return found ? found->get() : nullptr;
 }
@@ -116,40 +116,41 @@
 // descriptors. The connection unused for longest is closed; strangers' before members'.
 void PeerConnections::make_room() {
     while (links_.size() >= bounds_.max_connections) {
-        TcpConnection* worst = nullptr;
+        Link* victim = nullptr;
         links_.each([&](std::uint64_t, auto& link) {
-            const auto order = [](const TcpConnection& each) {
-                return std::pair(!each.name.value.empty(), each.used);
+            const auto order = [](const Link& each) {
+                return std::pair(!each.name.value.empty(), each.last_used);
             };
-            if (!worst || order(*link) < order(*worst)) {
-                worst = link.get();
+            if (!victim || order(*link) < order(*victim)) {
+                victim = link.get();
             }
         });
-        drop(worst->no, false);
+        close_link(victim->id, false);
     }
 }
-LinkId PeerConnections::dial(const std::string& address) {
+LinkId PeerConnections::open_link(const std::string& address) {
     const auto to = net::address_of(address);
     if (!to) {
         return {};
     }
     make_room();
-    auto link = std::make_unique<TcpConnection>(*this, true);
-    TcpConnection& its = *link;
-    its.no = LinkId{links_.add(std::move(link))};
+    auto link = std::make_unique<Link>(*this, true);
+    Link& its = *link;
+    its.id = LinkId{links_.add(std::move(link))};
     its.open(*to, own_host_);
-    return its.no;
+    return its.id;
 }
-void PeerConnections::put(TcpConnection& link, const wire::Word& message) {
+void PeerConnections::send_frame(Link& link, const wire::Word& message) {
     const std::string frame = frame_with(message);
-    if (frame.size() > bounds_.max_frame_bytes + kFrameHead) {
-        return owner_.log_message("message not sent: bytes=" + std::to_string(frame.size()) +
-                                  " most=" + std::to_string(bounds_.max_frame_bytes + kFrameHead));
+    if (frame.size() > bounds_.max_frame_bytes + kFrameHeaderBytes) {
+        return owner_.log_message(
+            "message not sent: bytes=" + std::to_string(frame.size()) +
+            " most=" + std::to_string(bounds_.max_frame_bytes + kFrameHeaderBytes));
     }
     const Seconds now = net::clock_now();
-    link.used = now;
-    if (link.waits_since == 0 && wants_answer(message)) {
-        link.waits_since = now;
+    link.last_used = now;
+    if (link.awaiting_since == 0 && expects_answer(message)) {
+        link.awaiting_since = now;
     }
     bytes_sent_ += frame.size();
     ++frames_sent_;
@@ -157,36 +158,37 @@
 }
 void PeerConnections::send(const Name& to, const std::string& address, const wire::Word& message) {
     const auto it = by_name_.find(to);
-    TcpConnection* link = it == by_name_.end() ? nullptr : find(it->second);
+    Link* link = it == by_name_.end() ? nullptr : find(it->second);
     // Nothing reports that a link is cut: what is written there would wait for ever.
-    if (link && link->waits_since > 0 && net::clock_now() > link->waits_since + kStuck) {
-        drop(link->no, false);
+    if (link && link->awaiting_since > 0 &&
+        net::clock_now() > link->awaiting_since + kAnswerTimeout) {
+        close_link(link->id, false);
         link = nullptr;
     }
     if (!link) {
-        link = find(dial(address));
+        link = find(open_link(address));
         if (!link) {
             return;
         }
         link->name = to;
-        by_name_[to] = link->no;
+        by_name_[to] = link->id;
     }
-    put(*link, message);
+    send_frame(*link, message);
 }
 void PeerConnections::send(const std::string& address, const wire::Word& message) {
-    if (TcpConnection* link = find(dial(address))) {
-        put(*link, message);
+    if (Link* link = find(open_link(address))) {
+        send_frame(*link, message);
     }
 }
 void PeerConnections::reply(LinkId link, const wire::Word& message) {
-    if (TcpConnection* its = find(link)) {
-        put(*its, message);
+    if (Link* its = find(link)) {
+        send_frame(*its, message);
     }
 }
 
 // Otherwise whoever claims the name of another member would get the messages for that one.
-bool PeerConnections::assign(LinkId no, const Name& name, const std::string& address) {
-    TcpConnection* link = find(no);
+bool PeerConnections::assign(LinkId id, const Name& name, const std::string& address) {
+    Link* link = find(id);
     const auto at = net::address_of(address);
     if (!link || !at || link->peer_host() != at->host) {
         return false;
@@ -196,29 +198,29 @@
     }
     if (!link->name.value.empty()) {
         const auto it = by_name_.find(link->name);
-        if (it != by_name_.end() && it->second == no) {
+        if (it != by_name_.end() && it->second == id) {
             by_name_.erase(it);
         }
     }
     link->name = name;
-    TcpConnection* other = by_name_.contains(name) ? find(by_name_.at(name)) : nullptr;
-    if (!other || other->waits_since > 0) {
-        by_name_[name] = no;
+    Link* other = by_name_.contains(name) ? find(by_name_.at(name)) : nullptr;
+    if (!other || other->awaiting_since > 0) {
+        by_name_[name] = id;
     }
     return true;
 }
 
-void PeerConnections::drop(LinkId no, bool failed) {
-    auto* found = links_.find(no.value);
+void PeerConnections::close_link(LinkId id, bool failed) {
+    auto* found = links_.find(id.value);
     if (!found) {
         return;
     }
     const Name name = (*found)->name;
     (*found)->close();
     loop_.destroy_after_pass(std::move(*found));
-    links_.remove(no.value);
+    links_.remove(id.value);
     const auto it = by_name_.find(name);
-    if (it == by_name_.end() || it->second != no) {
+    if (it == by_name_.end() || it->second != id) {
         return;
     }
     by_name_.erase(it);
@@ -229,18 +231,20 @@
 
 void PeerConnections::maintain() {
     const Seconds now = net::clock_now();
-    std::vector<LinkId> over;
+    std::vector<LinkId> expired;
     links_.each([&](std::uint64_t, auto& link) {
-        const bool mute = !link->dialled() && !link->spoke && now > link->used + kFirstMessage;
-        const bool half = link->begun > 0 && now > link->begun + kHalfFrame;
-        if (mute || half || now > link->used + kIdle) {
-            over.push_back(link->no);
+        const bool is_silent = !link->outgoing() && !link->received_message &&
+                               now > link->last_used + kFirstMessageTimeout;
+        const bool has_partial_frame =
+            link->frame_begun_at > 0 && now > link->frame_begun_at + kFrameTimeout;
+        if (is_silent || has_partial_frame || now > link->last_used + kIdleTimeout) {
+            expired.push_back(link->id);
         }
     });
-    for (const LinkId no : over) {
-        drop(no, false);
+    for (const LinkId id : expired) {
+        close_link(id, false);
     }
-    maintain_timer_ = loop_.timers.at(now + kTendEvery, [this] { maintain(); });
+    maintain_timer_ = loop_.timers.at(now + kMaintenanceInterval, [this] { maintain(); });
 }
 
 }  // namespace tideline::cluster
--- a/src/cluster/peer_connections.hpp
+++ b/src/cluster/peer_connections.hpp
@@ -63,12 +63,12 @@
     }
 
   private:
-    class TcpConnection;
-    TcpConnection* find(LinkId link);
-    LinkId dial(const std::string& address);
+    class Link;
+    Link* find(LinkId link);
+    LinkId open_link(const std::string& address);
     void make_room();
-    void drop(LinkId link, bool failed);
-    void put(TcpConnection& link, const wire::Word& message);
+    void close_link(LinkId link, bool failed);
+    void send_frame(Link& link, const wire::Word& message);
     void maintain();
 
     net::EventLoop& loop_;
@@ -76,7 +76,7 @@
     Bounds bounds_;
     const std::uint32_t own_host_;
     net::Listener listener_;
-    net::Slots<std::unique_ptr<TcpConnection>> links_;
+    net::Slots<std::unique_ptr<Link>> links_;
     std::map<Name, LinkId> by_name_;
     net::Timers::Id maintain_timer_ = net::Timers::kNone;
     std::uint64_t bytes_sent_ = 0;
--- a/src/cluster/replication_agent.cpp
+++ b/src/cluster/replication_agent.cpp
@@ -15,8 +15,8 @@
 
 constexpr std::uint64_t kCoordinatorReportNumber =
     ~0ULL;                          // the number of a report that the repair coordinator asked for
-constexpr Seconds kLeaveGrace = 3;  // s: one that leaves has answered all by then
-constexpr Seconds kOlderTableMost = 30;  // s: planners that lag know the newest table by then
+constexpr Seconds kLeaveDelay = 3;  // s: one that leaves has answered all by then
+constexpr Seconds kOlderTableTimeout = 30;  // s: planners that lag know the newest table by then
 constexpr Seconds kTablePollInterval =
     5;  // s: the table is asked for, should its news have been lost
 
@@ -63,7 +63,7 @@
     for (auto* key : {&tick_timer_, &scrub_timer_, &poll_timer_}) {
         loop_.timers.cancel(*key);
     }
-    for (auto& [name, key] : leaving_) {
+    for (auto& [name, key] : leave_timers_) {
         loop_.timers.cancel(key);
     }
 }
@@ -141,13 +141,13 @@
 }
 
 void ReplicationAgent::scrub() {
-    const auto slots = replica_->table().shards.size();
-    if (slots > 0 && disk_works_) {
-        replica_store_.scrub({scrubbed_shards_++ % static_cast<std::uint32_t>(slots)});
+    const auto shard_count = replica_->table().shards.size();
+    if (shard_count > 0 && disk_works_) {
+        replica_store_.scrub({scrubbed_shards_++ % static_cast<std::uint32_t>(shard_count)});
     }
     // All shards once in the scrub interval.
     const Seconds every =
-        settings_.scrub_interval / static_cast<double>(std::max<std::size_t>(1, slots));
+        settings_.scrub_interval / static_cast<double>(std::max<std::size_t>(1, shard_count));
     scrub_timer_ = loop_.timers.at(net::clock_now() + every, [this] { scrub(); });
 }
 
@@ -177,7 +177,7 @@
         older_table_since_ = 0;
     } else if (older_table_since_ == 0) {
         older_table_since_ = now;
-    } else if (now > older_table_since_ + kOlderTableMost &&
+    } else if (now > older_table_since_ + kOlderTableTimeout &&
                !std::exchange(logged_older_table_, true)) {
         log_.alarm(
             "replica table too old: version={} newest_applied={} action=\"if the planners were set "
@@ -239,15 +239,15 @@
     const bool gone = entry.state >= MemberState::gone;
     repair_coordinator_.update_member(lasting_now(), entry.name, entry.incarnation, entry.place,
                                       !gone);
-    net::Timers::Id& leaving = leaving_[entry.name];
+    net::Timers::Id& leaving = leave_timers_[entry.name];
     loop_.timers.cancel(leaving);
     if (entry.state != MemberState::left) {
         return effect_log_.update_member(lasting_now(), entry.name, entry.incarnation, gone);
     }
     // One that leaves in order still answers what it took. Its attempts are no dead one's yet.
-    leaving = loop_.timers.at(net::clock_now() + kLeaveGrace,
+    leaving = loop_.timers.at(net::clock_now() + kLeaveDelay,
                               [this, name = entry.name, incarnation = entry.incarnation] {
-                                  leaving_[name] = net::Timers::kNone;
+                                  leave_timers_[name] = net::Timers::kNone;
                                   effect_log_.update_member(lasting_now(), name, incarnation, true);
                               });
 }
@@ -260,7 +260,7 @@
     loop_.timers.soon([this, message] { receive(self_, incarnation_, message); });
 }
 
-wire::HeldReport ReplicationAgent::report() {
+wire::HeldReport ReplicationAgent::make_report() {
     replication::ReplicaReport report = replica_->report(lasting_now());
     report.disk_works = disk_works_;
     wire::HeldReport message;
@@ -273,9 +273,9 @@
     return message;
 }
 
-void ReplicationAgent::report_to(const Name& to, std::uint64_t no) {
+void ReplicationAgent::send_report(const Name& to, std::uint64_t no) {
     wire::Holding message;
-    *message.mutable_report() = report();
+    *message.mutable_report() = make_report();
     message.mutable_report()->set_no(no);
     post(to, message);
 }
@@ -284,7 +284,7 @@
                                const wire::Holding& message) {
     const Seconds now = lasting_now();
     if (message.has_ask_report()) {
-        report_to(from, message.ask_report().no());
+        send_report(from, message.ask_report().no());
     } else if (message.has_report() && message.report().no() == kCoordinatorReportNumber) {
         std::set<Name> silent;
         const replication::ReplicaReport report =
--- a/src/cluster/replication_agent.hpp
+++ b/src/cluster/replication_agent.hpp
@@ -77,7 +77,7 @@
         wire::Holdings answer;
         std::set<Name> awaited;
         std::map<replication::Key, std::string> reads;  // what each read is for
-        Seconds until = 0;
+        Seconds deadline = 0;
     };
     // net::Watcher: the store has news
     void ready(short events) override;
@@ -122,10 +122,10 @@
         owner_.set_replication_alarm(false, key, {});
     }
 
-    wire::HeldReport report();
-    void report_to(const Name& to, std::uint64_t no);
+    wire::HeldReport make_report();
+    void send_report(const Name& to, std::uint64_t no);
     void replicate_epoch_index();
-    void read_for(OperatorQuery& query, const replication::Key& key, const std::string& what);
+    void start_read(OperatorQuery& query, const replication::Key& key, const std::string& what);
     void finish_queries();
     void scrub();
     void schedule_tick();
@@ -146,10 +146,10 @@
     bool logged_older_table_ = false;
     Seconds older_table_since_ =
         0;  // the planners' table is older than the newest applied; 0: it is not
-    std::map<Name, net::Timers::Id> leaving_;
+    std::map<Name, net::Timers::Id> leave_timers_;
     std::uint64_t newest_table_ = 0;
     std::map<std::uint64_t, OperatorQuery> queries_;
-    std::uint64_t last_query_ = 0;
+    std::uint64_t last_query_id_ = 0;
     // Incarnations of this member with replicated epochs, each with its last number; complete once
     // knows_seals_.
     std::map<std::uint64_t, std::uint64_t, std::greater<>> sealed_epochs_;
--- a/src/cluster/replication_agent_queries.cpp
+++ b/src/cluster/replication_agent_queries.cpp
@@ -14,11 +14,10 @@
 namespace tideline::cluster {
 namespace {
 
-constexpr Seconds kQueryTimeout = 1.0;       // s: who has not reported by then is named as silent
-constexpr std::size_t kQueriesMost = 16;     // at once
-constexpr std::size_t kEpochsReadMost = 64;  // epochs of a life that are looked for, the newest
-constexpr std::size_t kIncarnationsKept =
-    16;  // of a member: older ones are not pointed at any more
+constexpr Seconds kQueryTimeout = 1.0;        // s: who has not reported by then is named as silent
+constexpr std::size_t kMaxQueries = 16;       // at once
+constexpr std::size_t kMaxEpochsRead = 64;    // epochs of a life that are looked for, the newest
+constexpr std::size_t kMaxIncarnations = 16;  // of a member: older ones are not pointed at any more
 
 std::string text_of(const std::map<std::uint64_t, std::uint64_t, std::greater<>>& seals) {
     std::string text;
@@ -59,7 +58,7 @@
 }
 
 void ReplicationAgent::replicate_epoch_index() {
-    while (sealed_epochs_.size() > kIncarnationsKept) {
+    while (sealed_epochs_.size() > kMaxIncarnations) {
         sealed_epochs_.erase(std::prev(sealed_epochs_.end()));
     }
     effect_log_.store_bytes(lasting_now(), key_of_seals(self_), text_of(sealed_epochs_));
@@ -68,12 +67,12 @@
 void ReplicationAgent::answer_query(LinkId link, const wire::AskHoldings& ask) {
     OperatorQuery query;
     query.link = link;
-    query.until = lasting_now() + kQueryTimeout;
+    query.deadline = lasting_now() + kQueryTimeout;
     wire::Holdings& answer = query.answer;
     answer.set_asked(self_.value);
     answer.set_steward(owner_.repair_coordinator().value);
     answer.set_table(replication::bytes_of(replica_->table()));
-    if (queries_.size() >= kQueriesMost) {
+    if (queries_.size() >= kMaxQueries) {
         answer.set_why("too many queries at once: ask again");
         return owner_.reply_replication_status(link, answer);
     }
@@ -95,13 +94,13 @@
         }
         return owner_.reply_replication_status(link, answer);
     }
-    const std::uint64_t number = ++last_query_;
+    const std::uint64_t number = ++last_query_id_;
     OperatorQuery& stored = queries_.emplace(number, std::move(query)).first->second;
     if (!ask.fingerprint().empty()) {
-        read_for(stored, key_of({"effect", ask.operation(), ask.customer(), ask.fingerprint()}),
-                 "record");
+        start_read(stored, key_of({"effect", ask.operation(), ask.customer(), ask.fingerprint()}),
+                   "record");
     } else if (!ask.epochs_of().empty()) {
-        read_for(stored, key_of_seals(Name{ask.epochs_of()}), "seals " + ask.epochs_of());
+        start_read(stored, key_of_seals(Name{ask.epochs_of()}), "seals " + ask.epochs_of());
     } else {
         wire::Holding message;
         message.mutable_ask_report()->set_no(number);
@@ -111,14 +110,14 @@
         }
         wire::HeldRow& row = *stored.answer.add_rows();
         row.set_name(self_.value);
-        *row.mutable_report() = report();
+        *row.mutable_report() = make_report();
     }
     finish_queries();
     loop_.timers.at(net::clock_now() + kQueryTimeout, [this] { finish_queries(); });
     schedule_tick();
 }
 
-void ReplicationAgent::read_for(OperatorQuery& query, const Key& key, const std::string& what) {
+void ReplicationAgent::start_read(OperatorQuery& query, const Key& key, const std::string& what) {
     query.reads[key] = what;
     effect_log_.read(lasting_now(), key);
 }
@@ -136,12 +135,12 @@
         }
     }
     for (auto& [no, query] : queries_) {
-        const auto look = query.reads.find(key);
-        if (look == query.reads.end()) {
+        const auto read = query.reads.find(key);
+        if (read == query.reads.end()) {
             continue;
         }
-        const std::string what = look->second;
-        query.reads.erase(look);
+        const std::string what = read->second;
+        query.reads.erase(read);
         if (what == "record") {
             if (record) {
                 replication::put(lasting_now(), *record, *query.answer.mutable_record());
@@ -149,7 +148,7 @@
         } else if (what.starts_with("seals ")) {
             const Name member{what.substr(6)};
             for (const auto& [incarnation, last] : seals_from(record ? record->answer : "")) {
-                for (std::uint64_t i = last; i > 0 && i + kEpochsReadMost > last; --i) {
+                for (std::uint64_t i = last; i > 0 && i + kMaxEpochsRead > last; --i) {
                     const Key epoch = key_of_epoch(member, incarnation, i);
                     query.reads[epoch] = "epoch";
                     // Asked from the loop: the effect log is in the middle of a call.
@@ -170,7 +169,7 @@
     const Seconds now = lasting_now();
     for (auto it = queries_.begin(); it != queries_.end();) {
         OperatorQuery& query = it->second;
-        if (now < query.until && (!query.awaited.empty() || !query.reads.empty())) {
+        if (now < query.deadline && (!query.awaited.empty() || !query.reads.empty())) {
             ++it;
             continue;
         }
--- a/src/cluster/replication_agent_sidecar.cpp
+++ b/src/cluster/replication_agent_sidecar.cpp
@@ -16,16 +16,16 @@
 
 void ReplicationAgent::before_attempt(const net::AtMostOnceRequest& what, AttemptNumber no,
                                       const EndpointId& endpoint) {
-    replication::GuardedRequest covered;
-    covered.request = what.request;
-    covered.idempotent = what.idempotent;
-    covered.key = key_of({"effect", what.request_class, what.tenant, what.fingerprint});
-    covered.content = XXH3_64bits(what.statement.data(), what.statement.size());
+    replication::GuardedRequest guarded;
+    guarded.request = what.request;
+    guarded.idempotent = what.idempotent;
+    guarded.key = key_of({"effect", what.request_class, what.tenant, what.fingerprint});
+    guarded.content = XXH3_64bits(what.statement.data(), what.statement.size());
     const Seconds now = lasting_now();
-    covered.deadline = now + (what.deadline - net::clock_now());
-    const EndpointInfo* line = owner_.find_endpoint(endpoint);
-    effect_log_.before_attempt(now, covered, no, line ? line->location : Location{},
-                               line ? line->cell : Cell{});
+    guarded.deadline = now + (what.deadline - net::clock_now());
+    const EndpointInfo* info = owner_.find_endpoint(endpoint);
+    effect_log_.before_attempt(now, guarded, no, info ? info->location : Location{},
+                               info ? info->cell : Cell{});
     schedule_tick();
 }
 
--- a/src/swim/dissemination.cpp
+++ b/src/swim/dissemination.cpp
@@ -10,11 +10,11 @@
 using cluster::Name;
 
 // Times log2 of the cluster's size that a change is sent: reaches all but few.
-constexpr double kTransmissions = 3;
+constexpr double kTransmissionFactor = 3;
 // Entries a message: recent changes.
-constexpr std::size_t kMostChanges = 6;
+constexpr std::size_t kMaxChanges = 6;
 // Entries a message sent in turn: what a lost message held comes again.
-constexpr std::size_t kMostInTurn = 4;
+constexpr std::size_t kMaxInTurn = 4;
 
 }  // namespace
 
@@ -28,8 +28,9 @@
         included.insert(receiver);
     }
     const double size = table.cluster_size();
-    const int transmissions = static_cast<int>(std::ceil(kTransmissions * std::log2(size + 1)));
-    for (const Name& name : changes_.take(kMostChanges, transmissions, included)) {
+    const int transmissions =
+        static_cast<int>(std::ceil(kTransmissionFactor * std::log2(size + 1)));
+    for (const Name& name : changes_.take(kMaxChanges, transmissions, included)) {
         entries.push_back(name == self.name ? self : *table.find(name));
     }
     add_in_turn(entries, included, table, too_old);
@@ -41,8 +42,8 @@
 // for ever.
 void Dissemination::add_in_turn(std::vector<Entry>& entries, std::set<Name>& included,
                                 const MemberTable& table, Seconds too_old) {
-    for (std::size_t i = 0; i < kMostInTurn && !table.entries().empty(); ++i) {
-        const Entry& entry = table.following(last_in_turn_);
+    for (std::size_t i = 0; i < kMaxInTurn && !table.entries().empty(); ++i) {
+        const Entry& entry = table.entry_after(last_in_turn_);
         last_in_turn_ = entry.name;
         if (!table.gone_before(entry.name, too_old) && included.insert(entry.name).second) {
             entries.push_back(entry);
--- a/src/swim/entry_merge.cpp
+++ b/src/swim/entry_merge.cpp
@@ -33,10 +33,10 @@
     return MergeDecision::replaced;
 }
 
-bool merge_version(Entry& known, const Version& gossip_entry) {
+bool merge_version(Entry& known, const Version& gossip_version) {
     const Version before = known.version;
-    known.version.list = std::max(before.list, gossip_entry.list);
-    known.version.release = std::max(before.release, gossip_entry.release);
+    known.version.list = std::max(before.list, gossip_version.list);
+    known.version.release = std::max(before.release, gossip_version.release);
     return known.version != before;
 }
 
--- a/src/swim/entry_merge.hpp
+++ b/src/swim/entry_merge.hpp
@@ -17,7 +17,7 @@
 // `gossip_entry` has the same name as `known`.
 MergeDecision decide_merge(const cluster::Entry& known, const cluster::Entry& gossip_entry);
 // Both are of the same incarnation. True where `known` has changed.
-bool merge_version(cluster::Entry& known, const cluster::Version& gossip_entry);
+bool merge_version(cluster::Entry& known, const cluster::Version& gossip_version);
 bool merge_ruling(cluster::Entry& known, const cluster::Entry& gossip_entry);
 // The entry that a member sent of itself, as it is to be put; none where `known` stays. `known`:
 // nullptr where the member is new. Only its version changes here.
--- a/src/swim/failure_detector.cpp
+++ b/src/swim/failure_detector.cpp
@@ -13,16 +13,16 @@
 // Members asked to ping in this one's stead: one bad link of four is no failure.
 constexpr std::size_t kHelpers = 3;
 // Steps of health: a member that is slow itself waits up to nine times as long.
-constexpr int kMostHealth = 8;
+constexpr int kMaxHealth = 8;
 
 }  // namespace
 
 void FailureDetector::degrade_health(int steps) {
-    health_ = std::clamp(health_ + steps, 0, kMostHealth);
+    health_ = std::clamp(health_ + steps, 0, kMaxHealth);
 }
 
-std::optional<Probe> FailureDetector::start(Seconds now, Seconds answer_wait,
-                                            const MemberTable& table, RandomSource& random) {
+std::optional<Probe> FailureDetector::start_probe(Seconds now, Seconds answer_wait,
+                                                  const MemberTable& table, RandomSource& random) {
     probe_.reset();
     const auto target = order_.next(random, [&](const Name& name) {
         const Entry* entry = table.find(name);
@@ -52,7 +52,7 @@
     return helpers;
 }
 
-std::optional<Name> FailureDetector::conclude() {
+std::optional<Name> FailureDetector::conclude_probe() {
     if (!probe_) {
         return std::nullopt;
     }
--- a/src/swim/failure_detector.hpp
+++ b/src/swim/failure_detector.hpp
@@ -30,15 +30,15 @@
     }
     // Starts the probe of a period; none where nobody is reachable. `answer_wait`: seconds, for a
     // member in full health.
-    std::optional<Probe> start(Seconds now, Seconds answer_wait, const MemberTable& table,
-                               RandomSource& random);
-    void cancel() {
+    std::optional<Probe> start_probe(Seconds now, Seconds answer_wait, const MemberTable& table,
+                                     RandomSource& random);
+    void cancel_probe() {
         probe_.reset();
     }
     // Helpers to ping the target of the probe in this member's stead.
     std::vector<cluster::Name> choose_helpers(const MemberTable& table, RandomSource& random);
     // Ends the probe. Its target, where that gave no answer.
-    std::optional<cluster::Name> conclude();
+    std::optional<cluster::Name> conclude_probe();
     void answered(const cluster::PingId& id);
     void not_answered(const cluster::PingId& id);
     // A connection to it failed: the target of the probe is not waited for. True where it is that.
--- a/src/swim/gossip_queue.cpp
+++ b/src/swim/gossip_queue.cpp
@@ -20,10 +20,11 @@
     by_name_.erase(it);
 }
 
-std::vector<Name> GossipQueue::take(std::size_t most, int transmissions, std::set<Name>& skipped) {
+std::vector<Name> GossipQueue::take(std::size_t max_count, int max_transmissions,
+                                    std::set<Name>& skipped) {
     std::vector<Change> taken;
     for (const Change& change : changes_) {
-        if (taken.size() >= most) {
+        if (taken.size() >= max_count) {
             break;
         }
         if (skipped.insert(change.name).second) {
@@ -35,7 +36,7 @@
         names.push_back(change.name);
         changes_.erase(change);
         ++change.transmissions;
-        if (change.transmissions < transmissions) {
+        if (change.transmissions < max_transmissions) {
             changes_.insert(change);
             by_name_[change.name] = change;
         } else {
--- a/src/swim/gossip_queue.hpp
+++ b/src/swim/gossip_queue.hpp
@@ -20,7 +20,7 @@
     void remove(const cluster::Name& name);
     // Up to `most` names that are not in `skipped`, each counted as sent once more and dropped
     // after `transmissions` of them. Adds the names to `skipped`.
-    std::vector<cluster::Name> take(std::size_t most, int transmissions,
+    std::vector<cluster::Name> take(std::size_t max_count, int max_transmissions,
                                     std::set<cluster::Name>& skipped);
 
   private:
--- a/src/swim/member_table.cpp
+++ b/src/swim/member_table.cpp
@@ -68,7 +68,7 @@
     return it != gone_since_.end() && it->second < time;
 }
 
-const Entry& MemberTable::following(const Name& name) const {
+const Entry& MemberTable::entry_after(const Name& name) const {
     const auto it = entries_.upper_bound(name);
     return it == entries_.end() ? entries_.begin()->second : it->second;
 }
--- a/src/swim/member_table.hpp
+++ b/src/swim/member_table.hpp
@@ -29,7 +29,7 @@
     bool gone_before(const cluster::Name& name, Seconds time) const;
     // The member behind `name` in the order of names, the first one behind the last. Not to be
     // called on an empty table.
-    const cluster::Entry& following(const cluster::Name& name) const;
+    const cluster::Entry& entry_after(const cluster::Name& name) const;
     const std::map<cluster::Name, cluster::Entry>& entries() const {
         return entries_;
     }
--- a/src/swim/ping_order.cpp
+++ b/src/swim/ping_order.cpp
@@ -42,11 +42,12 @@
     return std::nullopt;
 }
 
-std::vector<Name> PingOrder::draw(std::size_t most, RandomSource& random,
+std::vector<Name> PingOrder::draw(std::size_t max_count, RandomSource& random,
                                   const Accepts& accepts) const {
     std::vector<Name> drawn;
     for (std::size_t tries = 0;
-         tries < kTriesPerDraw * most && drawn.size() < most && !names_.empty(); ++tries) {
+         tries < kTriesPerDraw * max_count && drawn.size() < max_count && !names_.empty();
+         ++tries) {
         const Name& name = names_[random.draw_below(names_.size())];
         const bool fresh = std::find(drawn.begin(), drawn.end(), name) == drawn.end();
         if (fresh && accepts(name)) {
--- a/src/swim/ping_order.hpp
+++ b/src/swim/ping_order.hpp
@@ -19,7 +19,7 @@
     std::optional<cluster::Name> next(RandomSource& random, const Accepts& pinged);
     // Up to `most` members drawn at random of those that `accepts`, each at most once; fewer where
     // few are found in some tries.
-    std::vector<cluster::Name> draw(std::size_t most, RandomSource& random,
+    std::vector<cluster::Name> draw(std::size_t max_count, RandomSource& random,
                                     const Accepts& accepts) const;
 
   private:
--- a/src/swim/suspicions.cpp
+++ b/src/swim/suspicions.cpp
@@ -10,12 +10,12 @@
 
 // Shortest time to refute, in periods times log10 of the cluster's size: the suspect hears of it
 // and answers.
-constexpr double kShortestTimeout = 4;
+constexpr double kMinTimeoutFactor = 4;
 // Longest time, of the shortest: while one member alone accuses, it may be the slow one.
-constexpr double kLongestTimeout = 3;
+constexpr double kMaxTimeoutFactor = 3;
 // Further accusers after which the shortest time holds.
-constexpr double kMostFurtherAccusers = 3;
-constexpr double kSmallestScale = 10;  // members: the logarithm is at least 1
+constexpr double kMaxFurtherAccusers = 3;
+constexpr double kMinClusterSize = 10;  // members: the logarithm is at least 1
 
 }  // namespace
 
@@ -25,17 +25,17 @@
 
 bool Suspicions::add_accuser(const Name& suspect, const Name& accuser) {
     Suspicion& suspicion = suspicions_[suspect];
-    return suspicion.accusers.size() <= static_cast<std::size_t>(kMostFurtherAccusers) &&
+    return suspicion.accusers.size() <= static_cast<std::size_t>(kMaxFurtherAccusers) &&
            suspicion.accusers.insert(accuser).second;
 }
 
 // Long while one member alone accuses, and shorter as others join in.
 Seconds Suspicions::deadline(const Suspicion& suspicion, double cluster_size, Seconds period) {
     const double shortest =
-        kShortestTimeout * std::log10(std::max(kSmallestScale, cluster_size)) * period;
-    const double longest = kLongestTimeout * shortest;
+        kMinTimeoutFactor * std::log10(std::max(kMinClusterSize, cluster_size)) * period;
+    const double longest = kMaxTimeoutFactor * shortest;
     const double further = static_cast<double>(suspicion.accusers.size()) - 1;
-    const double enough = std::min(kMostFurtherAccusers, cluster_size - 2);
+    const double enough = std::min(kMaxFurtherAccusers, cluster_size - 2);
     if (enough < 1) {
         return suspicion.since + shortest;
     }
