--- a/src/audit/adopted_versions.hpp
+++ b/src/audit/adopted_versions.hpp
@@ -1,4 +1,4 @@
-// The versions of the endpoint list or the release status that this member has acted on.
+// The content versions of the endpoint list or the release status that this member has adopted.
 #pragma once
 
 #include <algorithm>
@@ -10,7 +10,8 @@
 
 class AdoptedVersions {
   public:
-    // False for a rank below the last one: it is not added.
+    // Appends `version`, or replaces the newest one if its rank is the same. Returns false and adds
+    // nothing if its rank is lower than the newest.
     bool add(const ContentVersion& version) {
         if (version.rank < rank()) {
             return false;
@@ -25,20 +26,20 @@
         }
         return true;
     }
-    // Of the last one; 0 where there is none.
+    // Returns the rank of the newest version; 0 if there is none.
     std::uint64_t rank() const {
         return versions_.empty() ? 0 : versions_.back().rank;
     }
     bool contains(const ContentVersion& version) const {
         return std::find(versions_.begin(), versions_.end(), version) != versions_.end();
     }
-    // The oldest first.
+    // Returns the kept versions, oldest first.
     const std::vector<ContentVersion>& all() const {
         return versions_;
     }
 
   private:
-    // At ten changes of the list a second, a version can be confirmed for 6 s.
+    // With ten list changes per second, a version can be confirmed for 6 s after it was adopted.
     static constexpr std::size_t kMaxVersions = 64;
 
     std::vector<ContentVersion> versions_;
--- a/src/audit/audit_log.hpp
+++ b/src/audit/audit_log.hpp
@@ -1,6 +1,7 @@
-// The audit log: what a member acted on in one incarnation, as epochs sealed in a chain of digests.
-// Bounded: old epochs are folded into sums, which is visible in the record. No I/O and no clock;
-// sealed epochs are passed to AuditLogHost to be stored.
+// The audit log: the states that a member acted on during one incarnation, recorded as epochs that
+// are sealed in a chain of digests. Its size is bounded: old epochs are folded into sums, and the
+// record shows that they were. It performs no I/O and reads no clock; sealed epochs are passed to
+// AuditLogHost for storage.
 #pragma once
 
 #include <optional>
@@ -11,11 +12,11 @@
 
 namespace tideline::audit {
 
-using Digest = std::string;  // 32 bytes of BLAKE2b; empty before the first
+using Digest = std::string;  // 32 bytes of BLAKE2b; empty before the first epoch is sealed
 
-// What happened within an epoch.
+// Counts of events within an epoch.
 struct Counts {
-    // Attempts sent to endpoints on a build in trial; to all others.
+    // Attempts sent to endpoints on a build in trial, and to all other endpoints.
     std::uint64_t trial = 0;
     std::uint64_t earlier = 0;
     std::uint64_t on_votes = 0;
@@ -26,7 +27,7 @@
     bool operator==(const Counts&) const = default;
 };
 
-// What was acted on: everything that would change what this member does.
+// The state that a member acted on: everything whose change would alter its behaviour.
 struct ActingState {
     cluster::Version version;
     Build build;
@@ -34,49 +35,52 @@
     Phase phase = Phase::released;
     double cap = 0;
     TrialParticipation trial_participation = TrialParticipation::open;
-    // Digest of its configuration files; the version of the program.
+    // Digest of the configuration files, and version of the program.
     std::string config_digest;
     std::string program;
     bool operator==(const ActingState&) const = default;
 };
 
-// A time in which the member acted on the same state.
+// A period during which the member acted on one unchanged state.
 struct Epoch {
     std::uint64_t number = 0;
-    // Unix time, seconds.
+    // Begin and end, as Unix time in seconds.
     Seconds from = 0;
     Seconds to = 0;
     ActingState acting;
     Counts counts;
-    Digest digest;  // over the one before and all of this
+    Digest digest;  // over the preceding digest and every other field of the epoch
 };
 
-// The sums of the epochs that are no longer kept one by one.
+// The sums of epochs that are no longer kept individually.
 struct FoldedEpochs {
-    // How many epochs; the number of the newest.
+    // Number of folded epochs, and the epoch number of the newest one.
     std::uint64_t epochs = 0;
     std::uint64_t last = 0;
     Seconds from = 0;
     Seconds to = 0;
     Counts counts;
-    Digest digest;  // of the newest: where the chain of those kept begins
+    Digest digest;  // of the newest folded epoch; the chain of the kept epochs continues from it
 };
 
-// The record of one incarnation, as it is answered and checked.
+// The audit record of one incarnation, as it is sent to other members and verified by them.
 struct Record {
     cluster::Name name;
     cluster::Incarnation incarnation;
     cluster::Disk disk;
-    Digest root;  // where the chain begins: the last seal before, on the same disk; or empty
+    // Start of the chain: the last seal that an earlier incarnation stored on the same disk, or
+    // empty.
+    Digest root;
     std::optional<FoldedEpochs> fold;
     std::vector<Epoch> epochs;  // sealed, oldest first
-    Epoch open;                 // the present one, not sealed
+    Epoch open;                 // the current epoch, not sealed yet
 };
 
-// The digest that seals the epoch that follows the digest `before`.
+// Returns the digest that seals `epoch`, whose predecessor has the digest `before`.
 Digest seal_of(const cluster::Name& name, const cluster::Incarnation& incarnation,
                const Digest& before, const Epoch& epoch);
-// What is wrong in the record's chain, as a text; empty where nothing is.
+// Verifies the chain of digests of the record. Returns a description of the first fault, or an
+// empty string if there is none.
 std::string find_record_fault(const Record& record);
 
 class AuditLogHost {
@@ -87,14 +91,14 @@
 
 class AuditLog {
   public:
-    // `root`: the last seal of former incarnations on the same disk. `kept`: sealed epochs kept one
-    // by one, at least 2.
+    // `root` is the last seal of earlier incarnations on the same disk. `max_epochs` is the number
+    // of sealed epochs that are kept individually, at least 2.
     AuditLog(AuditLogHost& host, const cluster::Name& name, const cluster::Incarnation& incarnation,
              const cluster::Disk& disk, Digest root, ActingState acting, std::size_t max_epochs,
              Seconds now);
 
-    void set_acting_state(Seconds now,
-                          const ActingState& acting);  // seals the epoch where it differs
+    // Seals the current epoch and starts the next one if `acting` differs from the current state.
+    void set_acting_state(Seconds now, const ActingState& acting);
     void add_attempt(bool trial) {
         ++(trial ? record_.open.counts.trial : record_.open.counts.earlier);
     }
@@ -105,7 +109,8 @@
     void add_drains(std::uint64_t endpoints) {
         record_.open.counts.drains += endpoints;
     }
-    void seal_epoch(Seconds now);  // at the end
+    // Seals the current epoch and starts the next one. To be called when the member leaves.
+    void seal_epoch(Seconds now);
 
     const ActingState& acting() const {
         return record_.open.acting;
@@ -113,7 +118,8 @@
     Seconds since() const {
         return record_.open.from;
     }
-    // The newest seal: other members keep it, to detect a history that was changed later.
+    // The number and the digest of the newest sealed epoch. Other members remember them, to detect
+    // a history that was changed afterwards.
     std::uint64_t head_number() const {
         return record_.open.number - 1;
     }
--- a/src/audit/content_version.hpp
+++ b/src/audit/content_version.hpp
@@ -1,4 +1,4 @@
-// Versions of what members act on, with their content.
+// Versions of the state that members act on, identified by rank and content.
 #pragma once
 
 #include <array>
@@ -12,8 +12,8 @@
 };
 inline constexpr std::array kVersionParts = {VersionPart::list, VersionPart::release};
 
-// A state of the endpoint list or the release status: its rank in the source's own order, and a
-// digest of its content.
+// Identifies a version of the endpoint list or the release status: its rank in the order of its
+// source, and a digest of its content.
 struct ContentVersion {
     std::uint64_t rank = 0;
     std::uint64_t digest = 0;
--- a/src/audit/fleet_audit.cpp
+++ b/src/audit/fleet_audit.cpp
@@ -5,7 +5,9 @@
 namespace tideline::audit {
 namespace {
 
-constexpr int kMinUnreachableAudits = 2;  // in a row: one answer that was late is no alarm
+// Consecutive audits that find a member unreachable before the alarm is raised: a single late
+// answer raises none.
+constexpr int kMinUnreachableAudits = 2;
 
 }  // namespace
 
@@ -35,8 +37,8 @@
     host_.request_audit();
 }
 void FleetAudit::on_audit(Seconds, const std::vector<MemberFinding>& rows) {
-    // Without the alarms that are raised, a new lease holder would never clear those of the one
-    // before.
+    // A lease holder that does not know the raised alarms would never clear those of its
+    // predecessor.
     if (!holds_lease_ || !raised_alarms_) {
         return;
     }
@@ -65,8 +67,8 @@
         }
         host_.raise_alarm(key, text);
     }
-    // One odd answer on the way, from gone to unreachable and back, would clear an alarm and raise
-    // it again. So the alarms of a member stay raised until it is well.
+    // A member that alternates between gone and unreachable would otherwise have its alarms cleared
+    // and raised again. Its alarms stay raised until it is healthy.
     std::set<std::string> kept_raised;
     for (const MemberFinding& row : rows) {
         if (row.state != "current" && row.state != "behind" && row.state != "left") {
--- a/src/audit/peer_versions.cpp
+++ b/src/audit/peer_versions.cpp
@@ -19,7 +19,7 @@
     if (incarnation < peer.incarnation) {
         return nullptr;
     }
-    // A member that starts anew may well start behind.
+    // A restarted member may start with older versions.
     if (incarnation > peer.incarnation) {
         peer = PeerVersion{};
         peer.incarnation = incarnation;
@@ -27,7 +27,7 @@
     return &peer;
 }
 
-// Within an incarnation no rank falls; a message that says so is no evidence.
+// Ranks never fall within an incarnation, so a lower rank is ignored.
 bool PeerVersions::set_versions(PeerVersion& peer, const ContentVersion& list,
                                 const ContentVersion& release) {
     const auto before = peer.versions;
@@ -40,8 +40,9 @@
     return peer.versions != before;
 }
 
-// One wrong member that names a version nobody has would shut out all others. So a version is
-// required only once enough members act on it, each by its own messages and counted once.
+// A single faulty member that reports a version which nobody has would otherwise get all others
+// excluded. A version is therefore required only once enough members report it, each by its own
+// messages and counted once.
 bool PeerVersions::raise_required(VersionPart part, std::uint64_t own_rank, int witnesses) {
     std::vector<std::uint64_t> ranks{own_rank};
     for (const auto& [name, peer] : peers_) {
@@ -97,8 +98,8 @@
     return static_cast<std::size_t>(share * static_cast<double>(members));
 }
 
-// One faulty member may rule all others out. A ruling counts here only against members that lag by
-// their own messages to this one, and for no more of them than may be excluded.
+// A faulty member may rule that all others are excluded. A ruling therefore takes effect here only
+// against members that lag according to their own messages to this one, and only up to the limit.
 std::vector<Name> PeerVersions::excluded(Seconds now, Seconds grace, double share) const {
     std::vector<Name> names;
     for (const auto& [name, peer] : peers_) {
--- a/src/audit/version_audit.cpp
+++ b/src/audit/version_audit.cpp
@@ -6,19 +6,19 @@
 namespace tideline::audit {
 namespace {
 
-// Of the grace: a member that lags requests what it lacks, and again after as long.
+// A member that lags requests a transfer after this time, and again at this interval.
 constexpr double kTransferRequestIntervalInGraces = 0.5;
-// Graces: a transfer that nobody confirms by then is dropped.
+// A transfer that is not confirmed within this time is dropped.
 constexpr double kTransferTimeoutInGraces = 2;
-// Members that may rule, one after the other.
+// Members that may rule on exclusions; they take turns in the order of names.
 constexpr std::size_t kMaxRulers = 8;
-// Of the grace: one member is asked for its versions, in a cluster of any size.
+// Interval at which one member is asked for its versions, in a cluster of any size.
 constexpr double kVersionRequestIntervalInGraces = 0.5;
-// Graces: an older message is no ground to rule on.
+// Rulings are based only on messages that are not older than this.
 constexpr double kMaxMessageAgeInGraces = 2;
-// Of the grace: from one ruler's turn to readmit a member to the next one's.
+// Members that may readmit another take turns: this many of them within one grace.
 constexpr double kReadmitTurnsPerGrace = 4;
-// Members asked to confirm a transfer, of those whose confirmation it takes.
+// Members asked to confirm a transfer, for each confirmation that is required.
 constexpr int kConfirmationRequestsPerWitness = 2;
 
 }  // namespace
@@ -49,7 +49,7 @@
     return peers_.excluded(now_, settings_.grace, settings_.max_excluded_share);
 }
 
-// --- What members act on
+// --- Required versions
 void VersionAudit::raise_required(Seconds now) {
     now_ = now;
     for (const VersionPart part : kVersionParts) {
@@ -89,13 +89,14 @@
     }
     now_ = now;
     peer->last_heard = now;
-    // A cluster of a thousand sends many messages with few changes: only those are worked through.
+    // In a cluster of a thousand members, many messages arrive and few report a change. Only
+    // changes are processed further.
     const bool changed = PeerVersions::set_versions(*peer, list, release);
     if (changed) {
         raise_required(now);
     }
-    // A message from before the required version rose is no sign that the peer lags. Only one that
-    // comes later is.
+    // A message from before the required version rose does not show that the peer lags; only a
+    // later message does.
     if (!peers_.behind_required(*peer)) {
         peer->behind_since = -1;
     } else if (peer->behind_since < 0) {
@@ -152,8 +153,9 @@
     host_->request_transfer(names[transfer_request_count_++ % names.size()], part);
 }
 
-// What one member sends may be wrong. It is adopted only once as many members confirm just that
-// content as it takes to require a version, and only if it is newer than what this member acts on.
+// A single member may send wrong content. It is adopted only once as many members confirm exactly
+// that content as are needed to require a version, and only if it is newer than what this member
+// acts on.
 void VersionAudit::transfer_received(Seconds now, const Name& by, VersionPart part,
                                      const ContentVersion& version) {
     if (version.rank <= rank(part) || !peers_.find(by)) {
@@ -179,7 +181,8 @@
         return;
     }
     it->second.confirmed_by.insert(by);
-    // This member's own versions count where one is to be required, but confirm nothing it lacks.
+    // Unlike for a required version, this member itself does not count: it cannot confirm content
+    // that it lacks.
     if (static_cast<int>(it->second.confirmed_by.size()) < settings_.witnesses) {
         return;
     }
@@ -191,7 +194,7 @@
     set_own_version(now, part, version);
 }
 
-// --- Shutting out and readmitting
+// --- Exclusion and readmission
 void VersionAudit::review_peers(Seconds now) {
     const Seconds fresh_since = now - kMaxMessageAgeInGraces * settings_.grace;
     ask_next_peer(now, fresh_since);
@@ -205,8 +208,8 @@
     exclude_lagging(now, fresh_since, order);
 }
 
-// Gossip only says whom to ask, and in a large cluster it is old: so one peer at a time, whichever
-// was asked longest ago.
+// Gossip is old in a large cluster, so it only determines whom to ask. One peer is asked at a time:
+// the one that was asked longest ago.
 void VersionAudit::ask_next_peer(Seconds now, Seconds fresh_since) {
     PeerVersion* next = nullptr;
     const Name* next_name = nullptr;
@@ -227,7 +230,8 @@
     }
 }
 
-// By its own messages, and this member has acted on the same content.
+// Returns whether this member has acted on the same content that the peer reports in its own
+// messages.
 bool VersionAudit::proven_current(const PeerVersion& peer) const {
     return std::all_of(kVersionParts.begin(), kVersionParts.end(), [&](VersionPart part) {
         const auto it = peer.versions.find(part);
@@ -248,11 +252,12 @@
     }
 }
 
-// Where half of the cluster lags, to shut that half out would leave too few for the work. Those
-// that are gone count too, so that of two parts of a partition at most the larger one can rule.
+// If half of the cluster lags, excluding that half would leave too few members to carry the load.
+// Members that are gone count towards the limit as well, so that at most the larger part of a
+// partition can exclude members.
 void VersionAudit::exclude_lagging(Seconds now, Seconds fresh_since, std::size_t order) {
     const Seconds turn = static_cast<double>(order) * settings_.exclude_after;
-    std::vector<std::pair<Seconds, Name>> lagging;  // behind since
+    std::vector<std::pair<Seconds, Name>> lagging;  // (behind since, name)
     for (const auto& [name, peer] : peers_.all()) {
         if (peer.reachable() && peer.last_heard >= fresh_since && !peer.excluded_by_ruling &&
             peer.behind_since >= 0 &&
@@ -289,7 +294,7 @@
                              " behind_s=" + std::to_string(static_cast<int>(now - behind_since)));
 }
 
-// --- This member's own trial participation
+// --- Trial participation of this member
 void VersionAudit::on_own_exclusion(Seconds now, bool excluded) {
     excluded_by_ruling_ = excluded;
     if (!excluded) {
@@ -308,9 +313,9 @@
     return it != self_behind_since_.end() && now >= it->second + settings_.grace;
 }
 
-// Only ever more careful than alone: with no trial beyond the first stage where it hears too few
-// members or lags on the list; with no trial at all where its release status is known to be old, or
-// where it was shut out and can't refute that.
+// The cluster can only restrict the participation of a member. A member takes part in no trial
+// beyond the first stage if it hears too few members or its endpoint list is overdue. It takes part
+// in no trial at all if its release status is overdue, or if it is excluded and cannot refute that.
 TrialParticipation VersionAudit::participation(Seconds now) const {
     const Quorum quorum = peers_.quorum(now - settings_.uncertain_after, rank(VersionPart::list),
                                         rank(VersionPart::release));
@@ -319,8 +324,8 @@
     const auto refusals = std::count_if(refusals_.begin(), refusals_.end(), [&](const auto& each) {
         return each.second > now - settings_.uncertain_after;
     });
-    // One faulty member may rule all others out. Whoever hears enough members that have nothing
-    // newer refutes it; whoever does not, be it that it hears too few, can't.
+    // A faulty member may rule that all others are excluded. A member refutes the ruling if it
+    // hears enough members that have nothing newer; it cannot if it hears too few.
     const bool refutes_exclusion = !self_behind() && quorum.agreeing >= needed;
     const bool is_shut_out =
         (excluded_by_ruling_ && !refutes_exclusion) || refusals >= settings_.witnesses;
--- a/src/audit/version_audit_queries.cpp
+++ b/src/audit/version_audit_queries.cpp
@@ -1,5 +1,4 @@
-// What the version audit answers about members, and its own state as a text, for searches through
-// its states and for reading.
+// VersionAudit: queries about members, and its own state as text for model checking and debugging.
 #include <algorithm>
 
 #include "audit/version_audit.hpp"
--- a/src/cluster/active_state.hpp
+++ b/src/cluster/active_state.hpp
@@ -21,22 +21,24 @@
     Stage stage;
     Phase phase = Phase::released;
     double cap = 0;     // share of the requests that the trial build may get, 0 to 1
-    Seconds since = 0;  // time of the platform's report
+    Seconds since = 0;  // when the platform reported it
 };
 
-// Covers all of an endpoint but its address and location, which may differ between sidecars.
+// The digest covers an endpoint's id, state, build, start time, weight and cell. It leaves out the
+// address and the location, which may differ between sidecars.
 std::uint64_t digest_of(const EndpointList& endpoints);
 std::uint64_t digest_of(const ReleaseStatus& release);
 
-// Only holds state: one thread, the event loop's.
+// Holds state only. Used on the thread of the event loop.
 class ActiveState {
   public:
     void clear_endpoints() {
         endpoints_.clear();
     }
-    // Adds, replaces or removes the endpoint by its state. True where it has just begun to drain.
+    // Adds, replaces or removes the endpoint, depending on its state. Returns whether it has just
+    // begun to drain.
     bool update_endpoint(const EndpointInfo& info, const net::Address& address);
-    // To be called after a batch of changes: the list is now that of `revision`.
+    // Sets the revision of the list. To be called after each batch of changes.
     void set_list_revision(std::int64_t revision);
     void set_release(const ReleaseStatus& release);
 
@@ -46,12 +48,13 @@
     const ReleaseStatus& release() const {
         return release_;
     }
-    // nullptr where the list doesn't hold it. Valid until the list changes.
+    // Returns nullptr if the list does not contain the endpoint. The pointer is valid until the
+    // list changes.
     const EndpointInfo* find_endpoint(const EndpointId& endpoint) const;
     std::size_t ready_endpoints() const;
-    // The endpoint runs a build that is not released yet.
+    // Returns whether the endpoint runs a build that is not released yet.
     bool on_trial_build(const EndpointId& endpoint) const;
-    // Rank 0 where nothing was set yet.
+    // Returns a version of rank 0 if the part was not set yet.
     audit::ContentVersion version(audit::VersionPart part) const;
 
   private:
--- a/src/cluster/audit_queries.cpp
+++ b/src/cluster/audit_queries.cpp
@@ -9,13 +9,14 @@
 
 using audit::VersionPart;
 
-// Members asked at once: an audit of a large fleet opens no burst of connections.
+// Members asked at the same time. Limited so that an audit of a large cluster does not open a burst
+// of connections.
 constexpr std::size_t kMaxConcurrentRequests = 32;
-// For the records of those asked; members that are slower are shown as unreachable.
+// Time-out for the records of the members that were asked. Slower members are shown as unreachable.
 constexpr Seconds kRecordTimeout = 2;
-// Queries at once: whoever asks again and again costs no more than these.
+// Concurrent queries. Limits the load that clients can cause by repeating their queries.
 constexpr std::size_t kMaxQueries = 16;
-// Shown for a member that never sent a message of its own.
+// Value of heard_ago for a member that never sent a message of its own.
 constexpr double kNeverHeard = -1;
 
 }  // namespace
@@ -137,8 +138,8 @@
     messenger_.reply(query.link, message);
 }
 
-// A member is shown as current only by its own recent messages: what was current when it was last
-// heard may lag by now, so one that is not there is shown by its membership state instead.
+// The version status of a member relies on its own recent messages: a member that is not reachable
+// may lag by now, so its membership state is shown instead.
 wire::Row AuditQueries::make_row(const Entry& entry) const {
     const Seconds now = net::clock_now();
     const auto heard = last_heard_.find(entry.name);
--- a/src/cluster/audit_queries.hpp
+++ b/src/cluster/audit_queries.hpp
@@ -1,6 +1,6 @@
-// Queries for the state of the fleet: from the command line and tools over a connection, and from
-// this member's own fleet audit. A query lists all known members; with records, it asks each one
-// that is reachable for its audit record and checks it.
+// Answers queries for the state of the cluster, from the command line and tools over a connection,
+// and from this member's own fleet audit. A query lists all known members. With records, it also
+// asks each reachable member for its audit record and verifies it.
 #pragma once
 
 #include <deque>
@@ -16,11 +16,12 @@
 
 namespace tideline::cluster {
 
-// Holds references: what it is constructed with has to outlive it. One thread, the event loop's.
+// Holds references: the constructor's arguments must outlive it. Used on the thread of the event
+// loop.
 class AuditQueries {
   public:
     using Rows = std::vector<wire::Row>;
-    // `finished` is called once for each query of this member's own, with all rows.
+    // `finished` is called with all rows once each query of this member's own fleet audit ends.
     AuditQueries(net::Log& log, const Membership& membership,
                  const audit::VersionAudit& version_audit, const audit::AuditLog& audit_log,
                  const audit::SealedHeads& heads, MemberMessenger& messenger,
@@ -33,10 +34,10 @@
           messenger_(messenger),
           finished_(std::move(finished)) {}
 
-    // Answers over the connection, in one message a row and a last one without. Where too many
-    // queries run already, only the last one is sent.
+    // Answers over the connection, with one message per row and a last message without one. If too
+    // many queries are running already, only the last message is sent.
     void answer_query(LinkId link, bool with_records);
-    // For this member's own fleet audit, with records.
+    // Starts a query with records for this member's own fleet audit.
     void start_own_query();
     void member_heard(Seconds now, const Name& name) {
         last_heard_[name] = now;
@@ -47,11 +48,11 @@
 
   private:
     struct Query {
-        LinkId link;               // of an own query: none
-        bool own = false;          // of this member's fleet audit
-        Rows rows;                 // only of an own query
-        std::deque<Name> unasked;  // not yet asked
-        std::set<Name> awaited;    // asked, and has not answered
+        LinkId link;               // not set for this member's own fleet audit
+        bool own = false;          // started by this member's own fleet audit
+        Rows rows;                 // collected only for this member's own fleet audit
+        std::deque<Name> unasked;  // members to be asked
+        std::set<Name> awaited;    // members that were asked and have not answered
         Seconds deadline = 0;
     };
     void start_query(LinkId link, bool with_records, bool own);
--- a/src/cluster/cluster_config.cpp
+++ b/src/cluster/cluster_config.cpp
@@ -10,7 +10,7 @@
 namespace tideline::cluster {
 namespace {
 
-constexpr std::size_t kMaxNameBytes = 100;  // bytes: names are sent in every message
+constexpr std::size_t kMaxNameBytes = 100;  // names are sent in every message
 
 void read_membership(Reader& read, const Setting& from, ClusterConfig& cluster_config) {
     MembershipSettings& membership = cluster_config.membership;
--- a/src/cluster/cluster_config.hpp
+++ b/src/cluster/cluster_config.hpp
@@ -1,5 +1,5 @@
-// The cluster configuration of a member, read from its operator file with libconfig. The file is
-// checked as a whole before anything of it takes effect.
+// The cluster configuration of a member, read from its operator file with libconfig. The complete
+// file is validated before any of it takes effect.
 #pragma once
 
 #include <string>
@@ -19,8 +19,8 @@
     replication::ReplicaSettings replica;
     replication::EffectLogClientSettings effect_log;
     replication::RepairSettings repair_coordinator;
-    Seconds scrub_interval = 3600;  // s: all replicas are read back from the disk once in that time
-    bool group_commit = true;       // several records a fsync; false only for measurements
+    Seconds scrub_interval = 3600;  // s in which every replica is read back from the disk once
+    bool group_commit = true;       // several records per fsync; false only for measurements
     bool operator==(const ReplicationSettings&) const = default;
 };
 
@@ -28,39 +28,42 @@
     Name name;
     Place place;
     std::string listen;   // host:port in digits
-    std::string address;  // the same, as other members connect to it
+    std::string address;  // host:port at which other members connect to it
     std::vector<std::string> seeds;
-    std::string folder;                // for what has to outlive a restart; empty: nothing does
-    std::size_t max_connections = 64;  // connections to members at once
-    std::size_t max_frame_bytes = 1024 * 1024;  // bytes: the longest frame that is accepted
-    std::size_t max_epochs = 256;               // sealed epochs kept one by one
+    std::string folder;  // directory for state that survives restarts; if empty, nothing is stored
+    std::size_t max_connections = 64;           // concurrent connections to members
+    std::size_t max_frame_bytes = 1024 * 1024;  // longest frame that is accepted
+    std::size_t max_epochs = 256;               // sealed epochs kept individually
     MembershipSettings membership;
     audit::VersionAuditSettings version_audit;
-    std::vector<std::string> planners;  // their addresses; none: no leased tasks
+    // Addresses of the planners; without any, leased tasks are off.
+    std::vector<std::string> planners;
     lease::LeaseClientSettings lease_client;
-    Seconds audit_interval = 5;  // s between fleet audits, by the holder of the lease; 0: never
-    Seconds slow_start_interval = 0.5;  // s between slow-start allocations, likewise
+    Seconds audit_interval = 5;  // s between fleet audits by the lease holder; 0: off
+    // Seconds between slow-start allocations by the lease holder; 0: off.
+    Seconds slow_start_interval = 0.5;
     ReplicationSettings replication;
     std::string digest;  // of the file's text
 };
 
-// Whether something differs that takes effect at the next start only. `started`: the configuration
-// with which the member was started.
+// Returns whether `fresh` differs from `started`, the configuration that the member was started
+// with, in a setting that takes effect only at the next start.
 bool needs_restart(const ClusterConfig& started, const ClusterConfig& fresh);
 
-// Something wrong in a configuration file.
+// A fault in a configuration file.
 struct ConfigError {
-    int line = 0;  // 0: in the file as a whole
+    int line = 0;  // 0: the fault concerns the whole file
     std::string message;
 };
 
-// All faults of the text, in the order of lines; `cluster_config` is valid only if there is none.
+// Parses `text`. Returns all faults, ordered by line; `cluster_config` is valid only if there are
+// none.
 std::vector<ConfigError> read_cluster_config(const std::string& text,
                                              ClusterConfig& cluster_config);
-// Reads a file. Throws std::runtime_error, with one line a fault: file, line and what is wrong.
+// Reads the file. Throws std::runtime_error with one line per fault: file, line and description.
 ClusterConfig cluster_config_of(const std::string& path);
 std::string digest_of(const std::string& text);  // 16 hex digits, equal for equal texts
-// File, line and fault, as an operator reads it.
+// Formats the fault for the operator, with file and line.
 std::string text_of(const std::string& path, const ConfigError& fault);
 
 }  // namespace tideline::cluster
--- a/src/cluster/cluster_member.cpp
+++ b/src/cluster/cluster_member.cpp
@@ -12,12 +12,12 @@
 using audit::VersionPart;
 
 constexpr Seconds kReviewIntervalInGraces =
-    0.1;                                   // of the audit's grace: from one review to the next
-constexpr Seconds kMaxReviewInterval = 1;  // s, from one review to the next
+    0.1;  // interval between two reviews, as a fraction of the audit's grace
+constexpr Seconds kMaxReviewInterval = 1;  // s
 
-// The id of a new data folder. Not drawn from the configured seed: a machine that lost its disk
-// and starts with the same seed would draw the same id and be taken for the one that still holds
-// what was lost.
+// Returns an id for a new data folder. It is not drawn from the configured seed: a machine that
+// lost its disk and starts with the same seed would draw the same id, and would be taken for the
+// machine that still holds the lost data.
 std::uint64_t new_disk_id() {
     std::random_device device;
     return (static_cast<std::uint64_t>(device()) << 32 | device()) | 1;
@@ -131,7 +131,7 @@
     membership_.leave(net::clock_now());
 }
 
-// --- What this sidecar acts on
+// --- State that this sidecar acts on
 bool ClusterMember::takes_revision(std::int64_t revision) {
     return transfers_.accepts(VersionPart::list,
                               static_cast<std::uint64_t>(std::max<std::int64_t>(0, revision)));
@@ -214,7 +214,8 @@
     if (!member_store_.keep(epoch) && !std::exchange(member_store_full_, true)) {
         log_.alarm("audit epochs not written: folder={}", cluster_config_.folder);
     }
-    // Not at once: the audit log is in the middle of its seal, and each message shows the newest.
+    // Deferred, because the audit log is still sealing this epoch and every message carries the
+    // newest seal.
     if (replication_agent_) {
         loop_.timers.soon([this, epoch] { replication_agent_->replicate_epoch(epoch); });
     }
@@ -245,8 +246,8 @@
 }
 
 void ClusterMember::request_versions(const Name& of) {
-    // The answer to a ping carries the versions that its sender acts on. No ping of the membership
-    // has this id.
+    // The answer to a ping carries the versions that its sender acts on. The membership itself
+    // never uses this ping id.
     messenger_.ping(of, PingId{0}, {});
 }
 
@@ -269,7 +270,7 @@
         log_.line("trial participation changed: value='{}'", cluster::name_of(trial_participation));
     }
     trial_participation_ = trial_participation;
-    // The cores are not called back from within their own calls.
+    // Deferred, because the cores must not be called back from within their own calls.
     loop_.timers.soon([this] {
         if (observed_) {
             observed_->set_trial_participation(trial_participation_);
@@ -280,7 +281,8 @@
 
 // --- State transfer
 void ClusterMember::apply_version(VersionPart part, const ContentVersion& version) {
-    // The sidecar calls back into the version audit, which is in the middle of a call now.
+    // Deferred, because the sidecar calls back into the version audit, which is still executing a
+    // call.
     loop_.timers.soon([this, part, version] { adopt_transfer(part, version); });
 }
 
@@ -290,7 +292,7 @@
     }
     const auto transfer = transfers_.take(part, version);
     if (!transfer || state_.version(part).rank > version.rank) {
-        return;  // replaced by a later transfer, or this member's own source was quicker
+        return;  // replaced by a later transfer, or this member's own source was faster
     }
     transfers_.set_adopted(part, version.rank);
     log_.line("state transfer adopted: part={} rank={}", name_of(part), version.rank);
--- a/src/cluster/cluster_member.hpp
+++ b/src/cluster/cluster_member.hpp
@@ -1,5 +1,6 @@
-// This sidecar as a member of the cluster: joins the cores (membership, version audit, audit log)
-// to the connections, to the sidecar, and to leased tasks and replication. Decides nothing itself.
+// This sidecar as a member of the cluster. Connects the protocol cores (membership, version audit,
+// audit log) to the network connections, to the sidecar, and to leased tasks and replication. Makes
+// no decisions itself.
 #pragma once
 
 #include <memory>
@@ -32,8 +33,8 @@
                       LeasedTasks::Owner,
                       ReplicationAgent::Owner {
   public:
-    // `sidecar_config_digest`: of the sidecar's own configuration. Throws
-    // std::runtime_error, with one line for the operator.
+    // `sidecar_config_digest` is the digest of the sidecar's own configuration. Throws
+    // std::runtime_error with a one-line message for the operator.
     ClusterMember(net::EventLoop& loop, net::Log& log, const ClusterConfig& cluster_config,
                   const std::string& sidecar_config_digest,
                   const slow_start::SlowStartSettings& slow_start_settings, std::uint64_t seed);
@@ -41,15 +42,18 @@
     ClusterMember& operator=(const ClusterMember&) = delete;
     ~ClusterMember() override;
     void begin(net::ObservedSidecar& observed);
+    // Returns nullptr without replication.
     net::DuplicateEffectGuard* effect_guard() {
         return replication_agent_.get();
-    }  // none without replication
+    }
+    // Returns whether other members know the outcome of every attempt that this sidecar sent.
     bool settled() const {
         return !replication_agent_ || replication_agent_->is_settled();
-    }  // other members know the outcome of all it sent
-    void apply_config(
-        const ClusterConfig& new_config);  // after SIGHUP: what can change at run time
-    void leave();                          // after SIGTERM: the others are notified
+    }
+    // Applies the settings that can change at run time. To be called after SIGHUP.
+    void apply_config(const ClusterConfig& new_config);
+    // Notifies the other members that this one leaves. To be called after SIGTERM.
+    void leave();
     // net::FleetObserver
     bool takes_revision(std::int64_t revision) override;
     void endpoint_list_applied(std::int64_t revision, EndpointListKind kind,
@@ -169,16 +173,18 @@
     }
 
     void clear_endpoints();
-    // After each change of what this member acts on: to the audit log and the membership.
+    // Passes the state that this member acts on to the audit log and the membership. To be called
+    // after each change.
     void publish_state();
     void adopt_transfer(audit::VersionPart part, const audit::ContentVersion& version);
     void schedule_membership_tick();
-    void review_versions();  // and again after a part of the grace
+    // Runs the version audit, and again after a fraction of its grace.
+    void review_versions();
 
     net::EventLoop& loop_;
     net::Log& log_;
     const ClusterConfig started_config_;
-    // Of the last reload.
+    // As last reloaded.
     ClusterConfig cluster_config_;
     net::ObservedSidecar* observed_ = nullptr;
     const std::string sidecar_config_digest_;
@@ -194,8 +200,8 @@
     MemberMessenger messenger_;
     AuditQueries queries_;
     MessageReceiver receiver_;
-    std::unique_ptr<LeasedTasks> leased_tasks_;            // none without planners
-    std::unique_ptr<ReplicationAgent> replication_agent_;  // none without replication
+    std::unique_ptr<LeasedTasks> leased_tasks_;            // null without planners
+    std::unique_ptr<ReplicationAgent> replication_agent_;  // null without replication
     net::Timers::Id membership_timer_ = net::Timers::kNone;
     net::Timers::Id review_timer_ = net::Timers::kNone;
     bool member_store_full_ = false;
--- a/src/cluster/config_reader.hpp
+++ b/src/cluster/config_reader.hpp
@@ -1,5 +1,5 @@
-// Reads configuration files with libconfig. Each fault names the line, the field, the value and
-// what is allowed; a fault does not end the reading of the rest.
+// Reads configuration files with libconfig. Each fault names the line, the field, the value and the
+// allowed values. Reading continues after a fault, so that all of them are reported.
 #pragma once
 
 #include <fmt/format.h>
@@ -22,7 +22,8 @@
 
 using libconfig::Setting;
 
-// Makes readers of settings for the tables of group(). Only collects faults; throws nothing itself.
+// Creates parsers of single settings for the tables that are passed to group(). Collects faults and
+// throws nothing itself.
 class Reader {
   public:
     using Takes = std::function<void(const Setting&)>;
@@ -121,8 +122,8 @@
     std::vector<ConfigError>& faults_;
 };
 
-// Reads the text with `read`, which gets the reader and the root. Returns the faults in the order
-// of lines.
+// Parses `text` and calls `read` with a Reader and the root setting. Returns the faults, ordered by
+// line.
 template <class Read>
 std::vector<ConfigError> faults_in(const std::string& text, Read read) {
     std::vector<ConfigError> faults;
@@ -138,7 +139,7 @@
                      [](auto& a, auto& b) { return a.line < b.line; });
     return faults;
 }
-// Reads a file. Throws std::runtime_error, with one line a fault: file, line and what is wrong.
+// Reads the file. Throws std::runtime_error with one line per fault: file, line and description.
 template <class Config>
 Config read_config_file(const std::string& path,
                         std::vector<ConfigError> (*read)(const std::string&, Config&)) {
--- a/src/cluster/content_digest.hpp
+++ b/src/cluster/content_digest.hpp
@@ -1,4 +1,5 @@
-// Digests of what members act on. Two members that act on the same content compute the same digest.
+// Digests of the state that members act on. Two members that act on the same content compute the
+// same digest.
 #pragma once
 
 #define XXH_INLINE_ALL
--- a/src/cluster/frame.cpp
+++ b/src/cluster/frame.cpp
@@ -22,8 +22,8 @@
     }
     return value;
 }
-// The length is part of the checksum: otherwise a frame with a damaged length could hold a body
-// that fits its checksum.
+// The checksum covers the length: otherwise a frame with a damaged length could contain a body that
+// matches its checksum.
 std::uint64_t checksum_of(std::string_view body) {
     return XXH3_64bits_withSeed(body.data(), body.size(), 0x746c6631U + body.size());
 }
@@ -49,7 +49,7 @@
         return FrameRead::more;
     }
     const std::uint64_t length = decode_number(bytes.substr(4, 4));
-    // A length that was damaged, or sent in bad faith, would otherwise be waited for, or fill the
+    // A damaged or malicious length would otherwise make the reader wait for ever or exhaust the
     // memory.
     if (length > max_body_bytes) {
         error = "a frame of " + std::to_string(length) + " bytes, " +
--- a/src/cluster/leased_tasks.cpp
+++ b/src/cluster/leased_tasks.cpp
@@ -6,11 +6,11 @@
 namespace tideline::cluster {
 namespace {
 
-// The names are on the wire and in stored tables.
+// The names are part of the wire format and of stored tables.
 const lease::LeaseName kFleetAuditLease{"roll-call"};
 const lease::LeaseName kSlowStartLease{"warming"};
 const lease::LeaseName kRepairLease{"copies"};
-// Tells the keys of repair alarms from those of the fleet audit in alarm_texts_.
+// Separates the keys of repair alarms from those of the fleet audit in alarm_texts_.
 constexpr const char* kRepairAlarmPrefix = "replication ";
 
 slow_start::SlowStartSettings with_interval(slow_start::SlowStartSettings settings,
@@ -58,7 +58,7 @@
 }
 
 void LeasedTasks::on_lease_acquired(const lease::LeaseName& lease, lease::FencingToken token) {
-    // Held and lost again before this pass ended, it is not held.
+    // The lease may have been lost again before this deferred call.
     if (planner_client_.may_act(lease) != token) {
         return;
     }
@@ -75,7 +75,7 @@
 }
 void LeasedTasks::on_lease_lost(const lease::LeaseName& lease, lease::FencingToken) {
     if (planner_client_.may_act(lease)) {
-        return;  // it is held again already
+        return;  // the lease has been acquired again
     }
     if (lease == kFleetAuditLease) {
         fleet_audit_.lease_lost();
@@ -127,7 +127,7 @@
         return;
     }
     fleet_audit_.on_alarm_committed(key, raised);
-    // Only the member that changed it logs it: once for the cluster.
+    // Only the member that changed the alarm logs it, so that the cluster logs it once.
     if (raised && changed) {
         log_.alarm("fleet audit: {}", alarm_texts_[key]);
     }
@@ -142,8 +142,7 @@
     fleet_audit_.set_raised_alarms(keys);
 }
 
-// A holder that the planners have deposed is refused here from now on, also before its successor
-// acts.
+// From now on the messages of former holders are rejected, even before the new holder sends any.
 void LeasedTasks::on_holder_changed(const lease::LeaseName& lease, const Name& member,
                                     lease::FencingToken token, std::uint64_t number) {
     if (token > lease::FencingToken{}) {
@@ -212,8 +211,8 @@
     const Seconds now = net::clock_now();
     slow_start_coordinator_.receive_recent_attempts(now, self_, recent_attempts());
     slow_start_coordinator_.tick(now);
-    // Right before the act, with its fencing token. Members without a share are asked what they
-    // send.
+    // The lease is checked right before the messages are sent, which carry its fencing token.
+    // Members without a limit get a message as well, which asks them for their recent attempts.
     const auto token = planner_client_.may_act(kSlowStartLease);
     if (token && std::exchange(logged_token_, *token) != *token) {
         log_.line("slow-start limits allocated: token={}", token->value);
--- a/src/cluster/leased_tasks.hpp
+++ b/src/cluster/leased_tasks.hpp
@@ -1,6 +1,7 @@
-// Tasks that one member does for all while it holds their lease: the fleet audit, the slow-start
-// allocation and the coordination of repairs; and what other members receive from it. Joins the
-// cores to the planners and to the cluster; decides nothing itself. One thread, the event loop's.
+// Tasks that one member performs for the whole cluster while it holds their lease: the fleet audit,
+// the slow-start allocation and the coordination of repairs. Also handles what other members
+// receive from the lease holder. Connects the cores to the planners and to the cluster; makes no
+// decisions itself. Used on the thread of the event loop.
 #pragma once
 
 #include "audit/fleet_audit.hpp"
@@ -19,12 +20,15 @@
     class Owner {
       public:
         virtual ~Owner() = default;
-        virtual void request_audit() = 0;                       // answered by gathered()
-        virtual std::vector<Name> present_members() const = 0;  // the others that are present
+        virtual void request_audit() = 0;  // answered by on_audit()
+        // Returns the other members that are present.
+        virtual std::vector<Name> present_members() const = 0;
         virtual void send_slow_start_limits(const Name& to, const wire::Paces& limits) = 0;
+        // Sets the limit of this member itself.
         virtual void set_slow_start_limit(const EndpointId& endpoint, double max_attempts,
-                                          Seconds valid) = 0;  // of this member itself
-        // Replication: the lease on its coordination, and the table that its holders wrote.
+                                          Seconds valid) = 0;
+        // Replication: the lease on the coordination of repairs, and the replica table that its
+        // holders have written.
         virtual void on_repair_lease(bool held) = 0;
         virtual void on_replica_table_version(std::uint64_t number) = 0;
         virtual void on_replica_table_written(bool done) = 0;
@@ -40,12 +44,13 @@
     void leave();
     void endpoint_updated(const EndpointId& endpoint, bool ready, Seconds started);
     void ready_endpoints(std::size_t count);
-    void attempted();  // one, by this member
+    // Counts one attempt of this member.
+    void attempted();
     void on_audit(const std::vector<wire::Row>& rows);
-    // From the lease holder. False where its fencing token is older than another that was seen;
-    // else this member has to report what it sent.
+    // Handles limits from the lease holder. Returns false if their fencing token is older than the
+    // newest one seen. Otherwise this member must report its recent attempts.
     bool receive_slow_start_limits(const Name& by, const wire::Paces& limits);
-    // The table of replica sets, and alarms about replication.
+    // Replication: the replica table, and alarms.
     void write_table(std::uint64_t number, const std::string& bytes);
     void read_table();
     void set_replication_alarm(bool raised, const std::string& key, const std::string& text);
@@ -92,10 +97,10 @@
     audit::FleetAudit fleet_audit_;
     slow_start::SlowStartCoordinator slow_start_coordinator_;
     lease::FencingCheck fencing_check_;
-    std::map<Name, wire::Paces> allocations_;  // to be sent, once the deal is done
-    lease::FencingToken logged_token_;         // told in the log once
+    std::map<Name, wire::Paces> allocations_;  // to be sent once the allocation is complete
+    lease::FencingToken logged_token_;         // the token that was logged last
     std::map<std::string, std::string> alarm_texts_;
-    Name repair_coordinator_;  // the member that coordinates repairs
+    Name repair_coordinator_;  // the member that coordinates repairs; empty if unknown
     EventWindow recent_attempts_;
     net::Timers::Id tick_timer_ = net::Timers::kNone;
 };
--- a/src/cluster/member_messenger.hpp
+++ b/src/cluster/member_messenger.hpp
@@ -13,9 +13,9 @@
 
 namespace tideline::cluster {
 
-// Holds references only: what it is constructed with has to outlive it. One thread, the event
-// loop's. A message to a member that is not known, or to this member itself, is dropped; none is
-// confirmed or repeated.
+// Holds references only: the constructor's arguments must outlive it. Used on the thread of the
+// event loop. A message to an unknown member, or to this member itself, is dropped. Delivery is
+// neither confirmed nor retried.
 class MemberMessenger {
   public:
     MemberMessenger(const Membership& membership, const ActiveState& state,
@@ -25,7 +25,7 @@
           audit_log_(audit_log),
           connections_(connections) {}
 
-    // A message with the sender's part filled in; the caller sets one of its kinds.
+    // Returns a message with the sender's fields filled in; the caller sets its content.
     wire::Word new_message() const;
     void send(const Name& to, const wire::Word& message);
     void reply(LinkId link, const wire::Word& message) {
@@ -37,7 +37,7 @@
                                const Gossip& gossip);
     void acknowledge(const Name& to, PingId id, const Gossip& gossip);
     void report_no_answer(const Name& to, PingId id);
-    // To whichever member listens at the address.
+    // Sends the request to the member that listens at the address, whichever it is.
     void request_member_table(const std::string& address);
     void send_member_table(const Name& to, const Gossip& part, bool wants_back);
 
--- a/src/cluster/member_query.cpp
+++ b/src/cluster/member_query.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::size_t kMaxFrameBytes =
-    64 * 1024 * 1024;  // bytes: the most that a configuration may allow
+    64 * 1024 * 1024;  // the largest limit that a configuration can set
 
 wire::Word make_request(bool audit) {
     wire::Word message;
--- a/src/cluster/member_query.hpp
+++ b/src/cluster/member_query.hpp
@@ -1,4 +1,4 @@
-// Queries to members and planners from outside the cluster: for the command line and test tools.
+// Queries from outside the cluster to members and planners, for the command line and test tools.
 #pragma once
 
 #include <string>
@@ -9,16 +9,17 @@
 
 namespace tideline::cluster {
 
-// A connection that sends one request to a member or a planner and receives its answers. One
-// thread, the event loop's.
+// A connection that sends one request to a member or a planner and receives its answers. Used on
+// the thread of the event loop.
 class QueryConnection : public net::TcpConnection {
   public:
     bool finished = false;  // no more answers will come
-    std::string error;      // why it ended without all answers
+    std::string error;      // the reason why it ended before all answers arrived
 
   protected:
     QueryConnection(net::EventLoop& loop, const net::Address& address, const wire::Word& first);
-    virtual bool handle(const wire::Word& message) = 0;  // false: it does not answer the request
+    // Handles an answer. Returns false if it does not belong to the request.
+    virtual bool handle(const wire::Word& message) = 0;
     void send(const wire::Word& message);
 
   private:
@@ -28,17 +29,17 @@
 
 class MembersQuery : public QueryConnection {
   public:
-    // All members as one knows them; with `audit`, each one's audit record too.
+    // Queries all members as the receiver knows them; with `audit`, also the audit record of each.
     MembersQuery(net::EventLoop& loop, const net::Address& address, bool audit);
     std::vector<wire::Row> rows;
-    wire::Fleet last_answer;  // of the last answer
-    bool complete = false;    // all answers were received
+    wire::Fleet last_answer;
+    bool complete = false;  // all answers were received
 
   private:
     bool handle(const wire::Word& message) override;
 };
 
-// The state of replication, as one member knows it.
+// Queries the state of replication as the receiver knows it.
 class ReplicationQuery : public QueryConnection {
   public:
     ReplicationQuery(net::EventLoop& loop, const net::Address& address,
--- a/src/cluster/member_store.cpp
+++ b/src/cluster/member_store.cpp
@@ -16,8 +16,8 @@
 namespace fs = std::filesystem;
 using nlohmann::json;
 
-constexpr std::size_t kMaxEpochFileBytes =
-    4 * 1024 * 1024;  // bytes: some 20,000 epochs; then the older file goes
+// About 20,000 epochs. A full file replaces the older one, and a new file is begun.
+constexpr std::size_t kMaxEpochFileBytes = 4 * 1024 * 1024;
 
 }  // namespace
 
@@ -40,7 +40,7 @@
                            stored["member"].is_string() && stored.contains("disk") &&
                            stored["disk"].is_number_unsigned() && stored.contains("life") &&
                            stored["life"].is_number_unsigned();
-        // Two members that share a folder would each take the other's incarnation for its own.
+        // Two members that share a folder would each continue the incarnation of the other.
         if (valid && stored["member"] != name_.value) {
             throw std::runtime_error(folder_ + " belongs to member " +
                                      stored["member"].get<std::string>());
@@ -54,7 +54,8 @@
             damage_ = path + " can't be read: begun anew, as after the loss of a disk";
         }
     }
-    // A file that was cut off could not be read: it is written beside and renamed when whole.
+    // A truncated file could not be read, so a new file is written beside the old one and renamed
+    // once it is complete.
     std::ofstream(path + ".new")
         << json{{"member", name_.value}, {"disk", disk_.value}, {"life", incarnation_.value}}.dump()
         << '\n';
@@ -93,7 +94,7 @@
         root_ = message.record().epochs(0).digest();
         unread.remove_prefix(frame_bytes);
     }
-    // What can't be read would hide all that is written behind it.
+    // Records behind an unreadable part could not be found, so the file is set aside.
     if (!unread.empty()) {
         fs::rename(path, path + ".damaged");
     }
--- a/src/cluster/member_store.hpp
+++ b/src/cluster/member_store.hpp
@@ -1,5 +1,5 @@
-// What of a member outlives its process: a folder with its incarnation and the sealed epochs of its
-// audit log. Blocking file I/O, at start and at each seal.
+// The persistent state of a member: a folder with its incarnation and the sealed epochs of its
+// audit log. Performs blocking file I/O, at start and at each seal.
 #pragma once
 
 #include <string>
@@ -10,23 +10,28 @@
 
 class MemberStore {
   public:
-    // Opens the folder, or creates it. Without one (an empty path) nothing is stored, and the disk
-    // is 0. Throws std::runtime_error where it can't be used, or holds another member's records.
+    // Opens the folder or creates it, with `fresh_disk` as the id of a new disk. With an empty path
+    // nothing is stored and the disk id is 0. Throws std::runtime_error if the folder can't be used
+    // or holds another member's records.
     MemberStore(const std::string& folder, const Name& name, std::uint64_t fresh_disk, Seconds now);
 
+    // Returns the incarnation of this start, which is higher than any that the folder has stored.
     Incarnation incarnation() const {
         return incarnation_;
-    }  // of this start: higher than any that the folder has stored
+    }
     Disk disk() const {
         return disk_;
     }
+    // Returns the last seal of earlier incarnations.
     const audit::Digest& root() const {
         return root_;
-    }  // the last seal of former incarnations
+    }
+    // Returns a one-line description of the damage that was found in the folder, or an empty
+    // string.
     const std::string& found() const {
         return damage_;
-    }  // what was damaged in the folder, as a line; or empty
-    // Appends the epoch. False where it could not be written.
+    }
+    // Appends the epoch. Returns false if it could not be written.
     bool keep(const audit::Epoch& epoch);
 
   private:
--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -7,15 +7,18 @@
 namespace tideline::cluster {
 namespace {
 
-// Steps of health for a member that stalled for longer than a period.
+// Steps added to the local health score after a stall of more than a period.
 constexpr int kStallHealthPenalty = 2;
-// Of the wait for an answer: a helper reports in time that none came.
+// Fraction of the answer time-out that a helper waits, so that its report of a missing answer
+// arrives in time.
 constexpr double kIndirectTimeoutFactor = 0.8;
-// Periods: a whole table is sent to one member no more often.
+// Complete tables are sent to the same member at this interval or a longer one.
 constexpr double kMinTableIntervalInPeriods = 1;
-// Times that another claimed this name, after which two processes are the likely cause.
+// Claims of this member's name by another process, after which two processes with that name are the
+// likely cause.
 constexpr int kNameClaimsBeforeAlarm = 3;
-// Of the time between requests for a table: the shortest; the longest is 1 more.
+// Requests for a table are sent at random intervals: from this fraction of the configured interval
+// to that plus 1.
 constexpr double kMinRejoinFactor = 0.5;
 
 }  // namespace
@@ -31,7 +34,7 @@
       next_regain_(now),
       due_(now) {
     self_.state = MemberState::present;
-    // Members that start together would otherwise ping in step for good.
+    // Members that start together would otherwise send their pings at the same time for ever.
     next_period_ += settings_.period * random_.draw();
     dissemination_.add(self_.name);
 }
@@ -72,7 +75,7 @@
         case swim::SelfMerge::unchanged:
             return;
         case swim::SelfMerge::refuted:
-            detector_.degrade_health(1);  // whoever is accused may be slow itself
+            detector_.degrade_health(1);  // a suspicion is a sign that this member may be slow
             break;
         case swim::SelfMerge::name_claimed:
             if (++name_claims_ == kNameClaimsBeforeAlarm) {
@@ -119,7 +122,7 @@
     }
 }
 
-// Entries of a whole table are not queued as changes, which would hold up recent ones.
+// Entries of a complete table are not queued as changes, because they would delay recent changes.
 void Membership::merge_new(Seconds now, const Entry& gossip_entry, bool from_table) {
     put(now, gossip_entry, !from_table);
     if (gossip_entry.state == MemberState::suspected) {
@@ -240,7 +243,7 @@
     }
 }
 
-// --- Tables: joining, and finding each other again after a partition
+// --- Tables: joining, and reconnecting after a partition
 void Membership::send_table(Seconds now, const Name& to, bool wants_back) {
     const auto parts = table_exchange_.parts_for(
         now, to, kMinTableIntervalInPeriods * settings_.period, self_, table_, too_old(now));
@@ -270,8 +273,8 @@
     update_due();
 }
 
-// Two halves of a partition take each other for gone and ping no more. So one member that is gone,
-// or one seed that was never met, is asked for its table now and then.
+// After a partition, each side considers the other one gone and no longer pings it. One member that
+// is gone, or one seed that was never met, is therefore asked for its table periodically.
 void Membership::request_table() {
     const std::vector<std::string> addresses =
         swim::addresses_to_rejoin(self_.address, seeds_, table_);
@@ -287,7 +290,7 @@
     }
 }
 
-// --- This member's own
+// --- Rulings, and leaving the cluster
 void Membership::rule(Seconds now, const Name& name, const Incarnation& incarnation,
                       bool excluded) {
     const Entry* known = table_.find(name);
@@ -320,8 +323,9 @@
     due_ = suspicions_.next_deadline(due_, table_.cluster_size(), settings_.period);
 }
 
-// A member that stalled finds all its pings unanswered and all suspicions expired, though nobody
-// else did anything wrong. What it waited for meanwhile counts against itself.
+// After a stall, all pings of this member are unanswered and all suspicions have expired, although
+// no other member has failed. The stall therefore counts against this member's own health, and
+// suspicions are extended by its duration.
 void Membership::discount_stall(Seconds late) {
     detector_.degrade_health(kStallHealthPenalty);
     detector_.cancel_probe();
--- a/src/cluster/membership.hpp
+++ b/src/cluster/membership.hpp
@@ -1,8 +1,8 @@
-// Membership of the cluster by gossip: SWIM with suspicion and local health awareness
-// (docs/cluster.md). Who is present, suspected, gone or has left, and in which incarnation; the
-// cost a member is constant, whatever the size of the cluster. No I/O and no clock: each call
-// carries the time in seconds, which never goes back, and acts through MembershipHost before it
-// returns.
+// Cluster membership by gossip: SWIM with suspicion and local health awareness (docs/cluster.md).
+// Tracks which members are present, suspected, gone or have left, and their incarnations. The load
+// per member does not depend on the size of the cluster. It performs no I/O and reads no clock:
+// each call carries the time in seconds, which never decreases, and acts through MembershipHost
+// before it returns.
 #pragma once
 
 #include <map>
@@ -23,7 +23,8 @@
 
 using Gossip = std::vector<Entry>;
 
-// What the membership does to the outside. No call may call back into the membership.
+// Performs the outgoing actions of the membership. Implementations must not call back into the
+// membership.
 class MembershipHost {
   public:
     virtual ~MembershipHost() = default;
@@ -32,38 +33,40 @@
                                        const Gossip& gossip) = 0;
     virtual void acknowledge(const Name& to, PingId ping_id, const Gossip& gossip) = 0;
     virtual void report_no_answer(const Name& to, PingId ping_id) = 0;
-    virtual void request_table(
-        const std::string& address) = 0;  // asks whichever member is there for its table
+    // Asks the member that listens at the address, whichever it is, for its table.
+    virtual void request_table(const std::string& address) = 0;
     virtual void send_table(const Name& to, const Gossip& part, bool wants_back) = 0;
     virtual void on_member_changed(const Entry& entry, MemberState before,
                                    bool new_incarnation) = 0;
     virtual void raise_membership_alarm(const std::string& text) = 0;
 };
 
-// Seconds, all above 0; they can change at run time.
+// Times are in seconds, all above 0. They can change at run time.
 struct MembershipSettings {
-    Seconds period = 1;         // from one ping to the next
-    Seconds answer_wait = 0.3;  // for a direct answer, under half of the period
-    Seconds regain_every =
-        5;  // from one request to a member that is gone, or a seed not met yet, to the next
-    Seconds remember = 86400;  // members that are gone or have left, for so long
+    Seconds period = 1;         // interval between two pings
+    Seconds answer_wait = 0.3;  // time-out of a direct ping, at most half of the period
+    // Interval between two requests for a table, to a member that is gone or a seed that was not
+    // met yet.
+    Seconds regain_every = 5;
+    Seconds remember = 86400;  // how long members that are gone or have left are remembered
 };
 
 class Membership {
   public:
     Membership(MembershipHost& host, const MembershipSettings& settings, Entry self,
                std::vector<std::string> seeds, std::uint64_t seed, Seconds now);
-    // The same state under another host: for searches through its states.
+    // Copies the state under another host, for model checking.
     Membership(const Membership& other, MembershipHost& host) : Membership(other) {
         host_ = &host;
     }
 
+    // Returns when tick() is to be called next.
     Seconds due() const {
         return due_;
-    }  // when tick is to be called next
+    }
     void tick(Seconds now);
 
-    // Messages received. `from`: the sender's own entry.
+    // Handle received messages. `from` is the sender's own entry.
     void ping_received(Seconds now, const Entry& from, PingId ping_id, const Gossip& gossip);
     void indirect_ping_requested(Seconds now, const Entry& from, PingId ping_id, const Name& target,
                                  const Gossip& gossip);
@@ -74,16 +77,17 @@
     }
     void table_requested(Seconds now, const Entry& from);
     void table_received(Seconds now, const Entry& from, const Gossip& part, bool wants_back);
-    void unreachable(Seconds now, const Name& name);  // a connection to it was refused or broken
+    // A connection to the member was refused or broke.
+    void unreachable(Seconds now, const Name& name);
 
-    // This member's own versions.
+    // Sets the versions that this member acts on.
     void acts_on(Seconds, const Version& version) {
         self_.version = version;
     }
-    void rule(Seconds now, const Name& name, const Incarnation& incarnation,
-              bool excluded);  // it is excluded, or readmitted
+    // Rules that the member is excluded or readmitted.
+    void rule(Seconds now, const Name& name, const Incarnation& incarnation, bool excluded);
     void leave(Seconds now);
-    // Settings that were read anew while the program runs.
+    // Replaces the settings after a reload.
     void set_settings(const MembershipSettings& settings, std::vector<std::string> seeds) {
         settings_ = settings;
         seeds_ = std::move(seeds);
@@ -95,16 +99,19 @@
     const std::map<Name, Entry>& others() const {
         return table_.entries();
     }
+    // Returns the number of other members that are present or suspected.
     std::size_t present() const {
         return table_.present();
-    }  // others present or suspected
+    }
     std::optional<Entry> find(const Name& name) const;
+    // Returns the local health score; 0 means that this member shows no sign of being slow.
     int health() const {
         return detector_.health();
-    }  // 0: this member is not slow, as far as it can tell
+    }
+    // Returns how often another process has claimed this member's name.
     int name_claims() const {
         return name_claims_;
-    }  // how often another claimed this name
+    }
 
   private:
     // Gossip
@@ -131,13 +138,14 @@
     void forget_old(Seconds now);
 
     void update_due();
-    // Entries of members that are gone since before are not gossiped any more.
+    // Returns a time: the entries of members that have been gone since before it are no longer
+    // gossiped.
     Seconds too_old(Seconds now) const {
         return now - settings_.remember * kGossipedPart;
     }
 
-    // Of the time that a gone member is remembered, its entry is gossiped. It would be passed on
-    // for ever if members gossiped it until they forget it.
+    // Fraction of the time that a gone member is remembered, during which its entry is gossiped. If
+    // members gossiped the entry until they forget it, it would circulate for ever.
     static constexpr double kGossipedPart = 0.5;
 
     MembershipHost* host_;
--- a/src/cluster/message_codec.cpp
+++ b/src/cluster/message_codec.cpp
@@ -5,7 +5,7 @@
 namespace tideline::cluster {
 namespace {
 
-// Version parts in messages.
+// Numbers of the version parts in messages.
 constexpr std::uint32_t kListNumber = 0;
 constexpr std::uint32_t kReleaseNumber = 1;
 
--- a/src/cluster/message_codec.hpp
+++ b/src/cluster/message_codec.hpp
@@ -1,5 +1,5 @@
-// Converts between the cluster's types and its protobuf messages. Names of the messages that differ
-// from the types' are mapped here.
+// Converts between the cluster's types and its protobuf messages. Fields of the messages whose
+// names differ from those of the types are mapped here.
 #pragma once
 
 #include "audit/audit_log.hpp"
@@ -18,13 +18,14 @@
 audit::Record record_from(const wire::Record& from);
 audit::ContentVersion content_version_from(const wire::Mark& from);
 
-// The number of a version part in messages. A number that names none reads as the release status;
-// where a request is to be refused instead, is_version_part tells.
+// The number of a version part in messages. An unknown number is read as the release status;
+// is_version_part() tells whether a number is known.
 std::uint32_t wire_number_of(audit::VersionPart part);
 audit::VersionPart version_part_from(std::uint32_t number);
 bool is_version_part(std::uint32_t number);
 
-// A frame that holds the message; and the message in a frame's body, false where it is none.
+// Encode a message as a frame, and decode a message from the body of a frame. read_word() returns
+// false if the body holds no message.
 std::string frame_with(const wire::Word& message);
 bool read_word(std::string_view body, wire::Word& message);
 
--- a/src/cluster/message_receiver.cpp
+++ b/src/cluster/message_receiver.cpp
@@ -24,7 +24,7 @@
         log_.line("message rejected: claimed_sender={} reason=other_host", from.name.value);
         return false;
     }
-    // The membership first: it has to know the sender before anything else refers to it.
+    // The membership comes first: it must know the sender before any other component refers to it.
     const Seconds now = net::clock_now();
     dispatch_to_membership(now, from, message);
     handle_sender(now, from, message.from());
--- a/src/cluster/message_receiver.hpp
+++ b/src/cluster/message_receiver.hpp
@@ -1,5 +1,5 @@
-// Receives the messages of other members and of queries, and passes each to the part that handles
-// it.
+// Receives the messages of other members and of query clients, and dispatches each to the component
+// that handles it.
 #pragma once
 
 #include "audit/sealed_heads.hpp"
@@ -15,7 +15,8 @@
 
 namespace tideline::cluster {
 
-// Holds references: what it is constructed with has to outlive it. One thread, the event loop's.
+// Holds references: the constructor's arguments must outlive it. Used on the thread of the event
+// loop.
 class MessageReceiver {
   public:
     MessageReceiver(net::Log& log, PeerConnections& connections, Membership& membership,
@@ -30,15 +31,16 @@
           queries_(queries),
           messenger_(messenger) {}
 
-    // nullptr where this member takes part in none; its messages are ignored then.
+    // nullptr, the default, disables the component: its messages are ignored.
     void set_leased_tasks(LeasedTasks* leased_tasks) {
         leased_tasks_ = leased_tasks;
     }
     void set_replication(ReplicationAgent* replication) {
         replication_ = replication;
     }
-    // True where it came from a member: the next deadline of the membership may have changed.
-    // A message that claims a sender which doesn't belong to the connection is logged and dropped.
+    // Returns whether the message came from a member, in which case the next deadline of the
+    // membership may have changed. A message whose claimed sender does not match its connection is
+    // logged and dropped.
     bool receive(LinkId link, const wire::Word& message);
 
   private:
--- a/src/cluster/peer_connections.cpp
+++ b/src/cluster/peer_connections.cpp
@@ -8,11 +8,14 @@
 namespace tideline::cluster {
 namespace {
 
-constexpr Seconds kFirstMessageTimeout = 2;  // s: whoever connects sends a message at once
-constexpr Seconds kIdleTimeout = 30;  // s: a connection unused for longer costs more than a new one
-constexpr Seconds kAnswerTimeout = 5;  // s: written to and silent for longer, it is taken for cut
-constexpr Seconds kFrameTimeout = 8;   // s: a frame that was begun; 3 s links deliver one in less
-constexpr Seconds kMaintenanceInterval = 1;  // s: how often that is looked at
+// A client sends a message as soon as it has connected.
+constexpr Seconds kFirstMessageTimeout = 2;
+// Keeping a connection unused for longer costs more than opening a new one.
+constexpr Seconds kIdleTimeout = 30;
+// A connection without an answer for longer than this is considered broken.
+constexpr Seconds kAnswerTimeout = 5;
+constexpr Seconds kFrameTimeout = 8;  // s to complete a frame; links with a delay of 3 s take less
+constexpr Seconds kMaintenanceInterval = 1;  // s between two checks of the time-outs
 
 bool expects_answer(const wire::Word& message) {
     return message.has_ping() || message.has_ask_ping() || message.has_knock() ||
@@ -39,9 +42,9 @@
     bool outgoing() const {
         return outgoing_;
     }
-    Seconds last_used;           // last written to or heard
-    Seconds awaiting_since = 0;  // written to, and nothing heard since; 0: not so
-    Seconds frame_begun_at = 0;  // a frame that is not yet whole; 0: none
+    Seconds last_used;           // when it was last written to or read from
+    Seconds awaiting_since = 0;  // since when an answer is outstanding; 0: none is
+    Seconds frame_begun_at = 0;  // when the incomplete frame began to arrive; 0: there is none
     bool received_message = false;
 
   protected:
@@ -112,8 +115,9 @@
     return found ? found->get() : nullptr;
 }
 
-// Members or strangers that connect again and again would otherwise use up the sidecar's
-// descriptors. The connection unused for longest is closed; strangers' before members'.
+// Clients that connect again and again would otherwise exhaust the sidecar's file descriptors. The
+// least recently used connection is closed; connections that are not assigned to a member are
+// closed first.
 void PeerConnections::make_room() {
     while (links_.size() >= bounds_.max_connections) {
         Link* victim = nullptr;
@@ -159,7 +163,7 @@
 void PeerConnections::send(const Name& to, const std::string& address, const wire::Word& message) {
     const auto it = by_name_.find(to);
     Link* link = it == by_name_.end() ? nullptr : find(it->second);
-    // Nothing reports that a link is cut: what is written there would wait for ever.
+    // A broken link may go unnoticed by TCP: messages written to it would wait for ever.
     if (link && link->awaiting_since > 0 &&
         net::clock_now() > link->awaiting_since + kAnswerTimeout) {
         close_link(link->id, false);
@@ -186,7 +190,8 @@
     }
 }
 
-// Otherwise whoever claims the name of another member would get the messages for that one.
+// Without this check, a client that claims the name of another member would receive the messages
+// for that member.
 bool PeerConnections::assign(LinkId id, const Name& name, const std::string& address) {
     Link* link = find(id);
     const auto at = net::address_of(address);
--- a/src/cluster/peer_connections.hpp
+++ b/src/cluster/peer_connections.hpp
@@ -1,6 +1,6 @@
-// Connections between members: frames with a message each, both ways, over the event loop. A
-// connection belongs to the member that its messages name, if it comes from that member's host. One
-// thread, the event loop's; nothing here throws.
+// Connections between members, which carry one message per frame in both directions. A connection
+// is assigned to the member that its messages name as their sender, if it comes from that member's
+// host. Used on the thread of the event loop; nothing here throws.
 #pragma once
 
 #include <functional>
@@ -19,17 +19,18 @@
 
 class PeerConnections {
   public:
-    // Has to outlive the connections; its calls may close any connection.
+    // Must outlive the connections. Its methods may close any connection.
     class Owner {
       public:
         virtual ~Owner() = default;
         virtual void on_message(LinkId link, const wire::Word& message) = 0;
-        virtual void on_unreachable(const Name& name) = 0;  // a connection to it failed or broke
-        virtual void log_message(const std::string& what) = 0;  // for the log
+        // A connection to the member failed or broke.
+        virtual void on_unreachable(const Name& name) = 0;
+        virtual void log_message(const std::string& what) = 0;
     };
     struct Bounds {
-        std::size_t max_connections = 64;           // connections at once
-        std::size_t max_frame_bytes = 1024 * 1024;  // bytes
+        std::size_t max_connections = 64;           // concurrent connections
+        std::size_t max_frame_bytes = 1024 * 1024;  // longest frame that is accepted
     };
     PeerConnections(net::EventLoop& loop, Owner& owner, const Bounds& bounds,
                     std::uint32_t own_host);
@@ -38,15 +39,16 @@
     ~PeerConnections();
 
     bool listen(const net::Address& address);
-    // Over the connection to that member, or a new one to the address. Not confirmed: a message is
-    // lost with its connection.
+    // Sends over the connection to that member, or over a new one to the address. Delivery is not
+    // confirmed: a message is lost if its connection breaks.
     void send(const Name& to, const std::string& address, const wire::Word& message);
-    void send(const std::string& address, const wire::Word& message);  // over a new connection
+    // Sends over a new connection.
+    void send(const std::string& address, const wire::Word& message);
     void reply(LinkId link, const wire::Word& message);
     bool open(LinkId link) {
         return find(link) != nullptr;
     }
-    // Assigns the connection to that member. False where it comes from another host than the
+    // Assigns the connection to that member. Returns false if it comes from another host than the
     // member's address.
     bool assign(LinkId link, const Name& name, const std::string& address);
     void set_bounds(const Bounds& bounds) {
--- a/src/cluster/planner_client.cpp
+++ b/src/cluster/planner_client.cpp
@@ -16,13 +16,13 @@
 using lease::LeaseName;
 using lease::LeaseRequestId;
 
-// Ids from here on are not the lease client's.
+// Ids of operations begin here; lower ids are used by the lease client.
 constexpr std::uint64_t kFirstOperationId = 1ULL << 63;
 constexpr Seconds kOperationTimeout = 5;  // s
 constexpr Seconds kReadTimeout = 0.5;     // s
-// s; a planner ends a subscription after three times that.
+// s. A planner ends a subscription that was not renewed for three times this interval.
 constexpr Seconds kWatchInterval = 5;
-constexpr std::size_t kMaxFrameBytes = 16 * 1024 * 1024;  // the table of a planner
+constexpr std::size_t kMaxFrameBytes = 16 * 1024 * 1024;  // enough for the table of a planner
 
 }  // namespace
 
@@ -187,7 +187,7 @@
         return operation.kind == kind && operation.lease == lease && operation.key == key;
     });
 }
-// An operation whose answer was lost may not keep out the next one like it for good.
+// An operation whose answer was lost must not block the next operation of the same kind for ever.
 void PlannerClient::expire_operations() {
     const Seconds now = lasting_now();
     std::erase_if(operations_, [&](const auto& each) {
@@ -228,8 +228,8 @@
     operations_.erase(found);
     finish_operation(operation, answer);
 }
-// The planners of another cluster know nothing of the leases that these have granted. The first
-// answer decides which cluster it is.
+// Planners of another cluster know nothing of the leases that were granted here. The first answer
+// determines which cluster is the right one.
 bool PlannerClient::is_from_known_cluster(const wire::LeaseAnswer& answer) {
     if (cluster_ == 0) {
         cluster_ = answer.cluster();
--- a/src/cluster/planner_client.hpp
+++ b/src/cluster/planner_client.hpp
@@ -1,6 +1,6 @@
 // A member's connection to the planners: sends the requests of its lease client, and operations on
-// the alarms and documents of leases. Any planner will do; where one does not answer the next is
-// asked. Called on the thread of the event loop.
+// the alarms and documents of leases. Any planner can handle a request; if one does not answer, the
+// next one is used. Used on the thread of the event loop.
 #pragma once
 
 #include <map>
@@ -24,23 +24,24 @@
         virtual void on_lease_acquired(const lease::LeaseName& lease,
                                        lease::FencingToken token) = 0;
         virtual void on_lease_lost(const lease::LeaseName& lease, lease::FencingToken token) = 0;
-        // The planners have committed that the alarm is raised or not. `changed`: it was not so
-        // before.
+        // The planners have committed that the alarm is raised or cleared. `changed` is false if it
+        // was in that state already.
         virtual void on_alarm_committed(const lease::LeaseName& lease, const std::string& key,
                                         bool raised, bool changed) = 0;
-        // The keys of the raised alarms of the lease.
+        // The keys of the raised alarms of the lease, on request.
         virtual void on_raised_alarms(const lease::LeaseName& lease,
                                       const std::set<std::string>& keys) = 0;
-        // The holder of a lease; token 0: nobody. `number`: of the document of the lease.
+        // The holder of the lease; token 0 means that nobody holds it. `number` is that of the
+        // lease's document.
         virtual void on_holder_changed(const lease::LeaseName& lease, const Name& member,
                                        lease::FencingToken token, std::uint64_t number) = 0;
-        // Whether the document was written. Not called where no answer came.
+        // Whether the document was written. Not called if no answer arrived.
         virtual void on_document_written(const lease::LeaseName& lease, std::uint64_t number,
                                          bool done) = 0;
         virtual void on_document_read(const lease::LeaseName& lease, std::uint64_t number,
                                       const std::string& bytes) = 0;
     };
-    // `owner` and the references have to outlive this object. `planners` is not empty.
+    // `owner` and the other references must outlive this object. `planners` must not be empty.
     PlannerClient(net::EventLoop& loop, net::Log& log, Owner& owner,
                   const std::vector<std::string>& planners,
                   const lease::LeaseClientSettings& settings, const std::string& own_address,
@@ -51,35 +52,37 @@
 
     void acquire(const lease::LeaseName& lease);
     void release_all();
-    // Subscribes to the holders of all leases; Owner::held_by is called for each, now and later.
+    // Subscribes to the holders of all leases. Owner::on_holder_changed is called for each of them,
+    // and again after each change.
     void watch();
-    // The token under which this member may act now. Call it right before each act and pass the
-    // token on.
+    // Returns the fencing token under which this member may act now, if it holds the lease. Call it
+    // right before each action and pass the token on.
     std::optional<lease::FencingToken> may_act(const lease::LeaseName& lease) const;
-    // Raises or clears an alarm under the token of the lease; nothing if the member does not hold
-    // it. Sent until the planners have committed it, a newer change takes its place or the lease
-    // is lost. Answered by Owner::on_alarm_committed.
+    // Raises or clears an alarm under the token of the lease; does nothing if this member does not
+    // hold it. The change is sent until the planners have committed it, a newer change replaces it
+    // or the lease is lost. Answered by Owner::on_alarm_committed.
     void set_alarm(const lease::LeaseName& lease, bool raised, const std::string& key,
                    const std::string& text);
-    // Answered by Owner::standing.
+    // Answered by Owner::on_raised_alarms.
     void request_raised_alarms(const lease::LeaseName& lease);
-    // Writes the document of the lease, as the one after `number` - 1, under the token of the
-    // lease; nothing if the member does not hold it. Answered by Owner::written.
+    // Writes the document of the lease, as the successor of document `number` - 1, under the token
+    // of the lease; does nothing if this member does not hold it. Answered by
+    // Owner::on_document_written.
     void write_document(const lease::LeaseName& lease, std::uint64_t number,
                         const std::string& bytes);
-    // Answered by Owner::read.
+    // Answered by Owner::on_document_read.
     void request_document(const lease::LeaseName& lease);
 
   private:
-    // A request that is not the lease client's.
+    // A pending request that was not made by the lease client.
     struct Operation {
         enum class Kind { list_alarms, set_alarm, write_document, read_document };
         lease::LeaseName lease;
-        std::string key;  // of set_alarm
+        std::string key;  // only for set_alarm
         Kind kind = Kind::list_alarms;
-        bool raised = false;  // of set_alarm
+        bool raised = false;  // only for set_alarm
         Seconds started_at = 0;
-        std::uint64_t number = 0;  // of write_document
+        std::uint64_t number = 0;  // only for write_document
     };
     // lease::LeaseClientHost
     void request_acquire(lease::LeaseRequestId id, const lease::LeaseName& lease) override;
@@ -123,8 +126,8 @@
     const lease::Member self_;
     PeerConnections peer_connections_;
     lease::LeaseClient lease_client_;
-    std::size_t planner_index_ = 0;  // of the planner that is asked
-    std::uint64_t cluster_ = 0;      // of the planners; 0 until the first answer
+    std::size_t planner_index_ = 0;  // index of the planner in use
+    std::uint64_t cluster_ = 0;      // cluster id of the planners; 0 until the first answer
     bool logged_foreign_cluster_ = false;
     std::map<std::uint64_t, Operation> operations_;  // by the id of the request
     std::uint64_t last_operation_ = 0;
--- a/src/cluster/replication_agent.cpp
+++ b/src/cluster/replication_agent.cpp
@@ -13,12 +13,12 @@
 using lease::lasting_now;
 using replication::Key;
 
-constexpr std::uint64_t kCoordinatorReportNumber =
-    ~0ULL;                          // the number of a report that the repair coordinator asked for
-constexpr Seconds kLeaveDelay = 3;  // s: one that leaves has answered all by then
-constexpr Seconds kOlderTableTimeout = 30;  // s: planners that lag know the newest table by then
+// Request number of the reports that the repair coordinator asks for.
+constexpr std::uint64_t kCoordinatorReportNumber = ~0ULL;
+constexpr Seconds kLeaveDelay = 3;  // s, after which a leaving member has answered all requests
+constexpr Seconds kOlderTableTimeout = 30;  // s, after which lagging planners know the newest table
 constexpr Seconds kTablePollInterval =
-    5;  // s: the table is asked for, should its news have been lost
+    5;  // s between requests for the table, in case a notification was lost
 
 replication::ReplicaStoreSettings store_settings_of(const ReplicationSettings& settings) {
     replication::ReplicaStoreSettings store_settings;
@@ -145,7 +145,7 @@
     if (shard_count > 0 && disk_works_) {
         replica_store_.scrub({scrubbed_shards_++ % static_cast<std::uint32_t>(shard_count)});
     }
-    // All shards once in the scrub interval.
+    // Each shard is scrubbed once per scrub interval.
     const Seconds every =
         settings_.scrub_interval / static_cast<double>(std::max<std::size_t>(1, shard_count));
     scrub_timer_ = loop_.timers.at(net::clock_now() + every, [this] { scrub(); });
@@ -171,8 +171,8 @@
         return log_.alarm("replica table unreadable: version={}", number);
     }
     const Seconds now = lasting_now();
-    // Planners that were set up anew count from one again. Without this alarm nothing would ever be
-    // applied, and nobody would notice.
+    // Planners that were set up anew restart the versions of the table at one. Without this alarm
+    // no table would be applied any more, and the operator would not learn of it.
     if (number >= replica_->newest_table_seen().value) {
         older_table_since_ = 0;
     } else if (older_table_since_ == 0) {
@@ -191,7 +191,7 @@
         effect_log_.apply_table(now, table);
         repair_coordinator_.apply_table(now, table);
     }
-    // A coordinator that does not know the newest table would plan on an old one.
+    // A coordinator that does not know the newest table would base its plans on an old one.
     if (holds_lease_ && !repair_coordinator_.holds_lease() && number >= newest_table_) {
         repair_coordinator_.lease_acquired(now, table);
         log_.line("repair lease acquired: table_version={}", number);
@@ -244,7 +244,8 @@
     if (entry.state != MemberState::left) {
         return effect_log_.update_member(lasting_now(), entry.name, entry.incarnation, gone);
     }
-    // One that leaves in order still answers what it took. Its attempts are no dead one's yet.
+    // A member that leaves in order still answers the requests that it has accepted, so its
+    // attempts are not treated as those of a failed member yet.
     leaving = loop_.timers.at(net::clock_now() + kLeaveDelay,
                               [this, name = entry.name, incarnation = entry.incarnation] {
                                   leave_timers_[name] = net::Timers::kNone;
@@ -256,7 +257,7 @@
     if (to != self_) {
         return owner_.send_replication_message(to, message);
     }
-    // The cores are not called back from within their own calls.
+    // Deferred, because the cores must not be called back from within their own calls.
     loop_.timers.soon([this, message] { receive(self_, incarnation_, message); });
 }
 
--- a/src/cluster/replication_agent.hpp
+++ b/src/cluster/replication_agent.hpp
@@ -1,6 +1,6 @@
-// Connects the replica, the client of the effect log and the repair coordinator of a member to the
-// disk, the other members, the planners and the sidecar. It decides nothing itself. One thread: the
-// event loop.
+// Connects the replica, the effect log client and the repair coordinator of a member to the disk,
+// the other members, the planners and the sidecar. Makes no decisions itself. Used on the thread of
+// the event loop.
 #pragma once
 
 #include <map>
@@ -32,16 +32,17 @@
         virtual ~Owner() = default;
         virtual void send_replication_message(const Name& to, const wire::Holding& message) = 0;
         virtual void reply_replication_status(LinkId link, const wire::Holdings& answer) = 0;
-        virtual std::vector<Name> present_members() const = 0;  // the others that are present
+        // Returns the other members that are present.
+        virtual std::vector<Name> present_members() const = 0;
         virtual const EndpointInfo* find_endpoint(const EndpointId& endpoint) const = 0;
         virtual void write_table(std::uint64_t number, const std::string& bytes) = 0;
         virtual void read_table() = 0;
         virtual void set_replication_alarm(bool raised, const std::string& key,
                                            const std::string& text) = 0;
-        virtual Name repair_coordinator()
-            const = 0;  // the holder of the repair lease, as far as is known
+        // Returns the holder of the repair lease; empty if it is not known.
+        virtual Name repair_coordinator() const = 0;
     };
-    // Throws std::runtime_error with one plain line.
+    // Throws std::runtime_error with a one-line message.
     ReplicationAgent(net::EventLoop& loop, net::Log& log, Owner& owner,
                      const ClusterConfig& cluster_config, const Incarnation& incarnation,
                      std::uint64_t fresh_disk);
@@ -51,17 +52,19 @@
     void begin(net::ObservedSidecar& observed);
     void leave();
     void update_member(const Entry& entry);
+    // Returns whether no notification is still to be delivered to a primary.
     bool is_settled() const {
         return effect_log_.pending_notifications() == 0;
-    }  // no notification waits for a primary
-    void replicate_epoch(
-        const audit::Epoch& epoch);  // replicates it, for when this machine is lost
-    // Of the planners:
+    }
+    // Replicates the epoch, so that it survives the loss of this machine.
+    void replicate_epoch(const audit::Epoch& epoch);
+    // Events from the planners.
     void set_repair_lease(bool held);
-    void on_table_version(std::uint64_t number);  // of the table
+    // `number` is the version of the newest replica table at the planners.
+    void on_table_version(std::uint64_t number);
     void on_table_read(std::uint64_t number, const std::string& bytes);
     void on_table_written(bool done);
-    // Of other members, and of operators:
+    // Messages from other members and queries from operators.
     void receive(const Name& from, const Incarnation& incarnation, const wire::Holding& message);
     void answer_query(LinkId link, const wire::AskHoldings& ask);
     // net::DuplicateEffectGuard
@@ -72,14 +75,14 @@
     void request_ended(RequestId request) override;
 
   private:
-    struct OperatorQuery {  // of an operator
+    struct OperatorQuery {  // a running query of an operator
         LinkId link;
         wire::Holdings answer;
         std::set<Name> awaited;
-        std::map<replication::Key, std::string> reads;  // what each read is for
+        std::map<replication::Key, std::string> reads;  // the purpose of each pending read
         Seconds deadline = 0;
     };
-    // net::Watcher: the store has news
+    // net::Watcher: the store has completed writes.
     void ready(short events) override;
     // replication::MessageSender
     void post(const Name& to, const wire::Holding& message) override;
@@ -144,14 +147,14 @@
     bool disk_works_ = true;
     bool holds_lease_ = false;
     bool logged_older_table_ = false;
-    Seconds older_table_since_ =
-        0;  // the planners' table is older than the newest applied; 0: it is not
+    // Since when the planners' table is older than the newest one applied; 0: it is not.
+    Seconds older_table_since_ = 0;
     std::map<Name, net::Timers::Id> leave_timers_;
     std::uint64_t newest_table_ = 0;
     std::map<std::uint64_t, OperatorQuery> queries_;
     std::uint64_t last_query_id_ = 0;
-    // Incarnations of this member with replicated epochs, each with its last number; complete once
-    // knows_seals_.
+    // Incarnations of this member with replicated epochs, each with the number of its last one.
+    // Complete once knows_sealed_epochs_ is true.
     std::map<std::uint64_t, std::uint64_t, std::greater<>> sealed_epochs_;
     bool knows_sealed_epochs_ = false;
     std::uint32_t scrubbed_shards_ = 0;
--- a/src/cluster/replication_agent_keys.hpp
+++ b/src/cluster/replication_agent_keys.hpp
@@ -9,12 +9,12 @@
 
 namespace tideline::cluster {
 
-// Digest of all parts, each with its length: parts that run into each other would make two things
-// one key.
+// Returns a digest of all parts, each with its length, so that different parts that concatenate to
+// the same text have different keys.
 replication::Key key_of(std::initializer_list<std::string_view> parts);
-// The epoch `number` that the member sealed in this incarnation.
+// Returns the key of the epoch `number` that the member sealed in this incarnation.
 replication::Key key_of_epoch(const Name& member, std::uint64_t incarnation, std::uint64_t number);
-// The list of the member's incarnations, each with its last sealed epoch.
+// Returns the key of the list of the member's incarnations, each with its last sealed epoch.
 replication::Key key_of_seals(const Name& member);
 
 }  // namespace tideline::cluster
--- a/src/cluster/replication_agent_queries.cpp
+++ b/src/cluster/replication_agent_queries.cpp
@@ -1,4 +1,4 @@
-// ReplicationAgent: queries of operators, and the audit epochs that are replicated.
+// ReplicationAgent: queries of operators, and replication of the audit epochs.
 
 #include <fmt/format.h>
 
@@ -14,10 +14,12 @@
 namespace tideline::cluster {
 namespace {
 
-constexpr Seconds kQueryTimeout = 1.0;        // s: who has not reported by then is named as silent
-constexpr std::size_t kMaxQueries = 16;       // at once
-constexpr std::size_t kMaxEpochsRead = 64;    // epochs of a life that are looked for, the newest
-constexpr std::size_t kMaxIncarnations = 16;  // of a member: older ones are not pointed at any more
+// Members that have not reported by then are shown as silent.
+constexpr Seconds kQueryTimeout = 1.0;
+constexpr std::size_t kMaxQueries = 16;     // concurrent queries
+constexpr std::size_t kMaxEpochsRead = 64;  // newest epochs that are read for each incarnation
+// Incarnations of a member that its list contains; older ones are dropped.
+constexpr std::size_t kMaxIncarnations = 16;
 
 std::string text_of(const std::map<std::uint64_t, std::uint64_t, std::greater<>>& seals) {
     std::string text;
@@ -151,7 +153,7 @@
                 for (std::uint64_t i = last; i > 0 && i + kMaxEpochsRead > last; --i) {
                     const Key epoch = key_of_epoch(member, incarnation, i);
                     query.reads[epoch] = "epoch";
-                    // Asked from the loop: the effect log is in the middle of a call.
+                    // Deferred, because the effect log is still executing a call.
                     loop_.timers.soon([this, epoch] {
                         effect_log_.read(lasting_now(), epoch);
                         schedule_tick();
--- a/src/cluster/replication_agent_sidecar.cpp
+++ b/src/cluster/replication_agent_sidecar.cpp
@@ -1,4 +1,4 @@
-// ReplicationAgent: between the sidecar and the client of the effect log.
+// ReplicationAgent: the calls between the sidecar and the effect log client.
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
@@ -41,7 +41,8 @@
     schedule_tick();
 }
 
-// The sidecar is called from the event loop, not from within this call: it may call back at once.
+// The calls to the sidecar are deferred to the event loop, because the sidecar may call back
+// immediately.
 void ReplicationAgent::on_cleared(RequestId request, AttemptNumber no) {
     loop_.timers.soon([this, request, no] { observed_->attempt_cleared(request, no); });
 }
--- a/src/cluster/state_transfer.hpp
+++ b/src/cluster/state_transfer.hpp
@@ -1,5 +1,5 @@
-// State transfer: the endpoint list or the release status of one member is sent to another that
-// lags, which acts on it once enough members confirm the content (VersionAudit counts them).
+// State transfer: a member sends its endpoint list or release status to another one that lags. The
+// receiver acts on it once enough members have confirmed the content, which VersionAudit counts.
 #pragma once
 
 #include <map>
@@ -12,30 +12,33 @@
 
 namespace tideline::cluster {
 
-// An endpoint list as it is passed to the sidecar: the same index in both vectors.
+// An endpoint list as it is passed to the sidecar. Entries with the same index in both vectors
+// belong together.
 struct TransferredList {
     std::vector<EndpointInfo> endpoints;
     std::vector<net::Address> addresses;
 };
 
 enum class TransferCheck {
-    valid,         // kept, to be confirmed by other members
-    malformed,     // a field outside its range; dropped
-    wrong_digest,  // the content is not that of the version it names; dropped
+    valid,         // kept until other members confirm it
+    malformed,     // a field is out of range; dropped
+    wrong_digest,  // the content does not match the digest of its version; dropped
 };
 
-// The message that carries `part` of this member's state.
+// Returns the message that carries `part` of this member's state.
 wire::HandOver transfer_of(const ActiveState& state, audit::VersionPart part);
 
 // Holds the transfers that wait for confirmation, one for each part, and the ranks that were
-// adopted. One thread, the event loop's.
+// adopted. Used on the thread of the event loop.
 class StateTransfer {
   public:
     TransferCheck receive(const wire::HandOver& transfer);
-    // Removes and returns the transfer of that version; none where another one has replaced it.
+    // Removes and returns the transfer of that version; std::nullopt if another one has replaced
+    // it.
     std::optional<wire::HandOver> take(audit::VersionPart part,
                                        const audit::ContentVersion& version);
-    // Of `part`, content below `rank` is refused from now on: this member's own source is behind.
+    // From now on, content of `part` below `rank` is not accepted: it comes from this member's own
+    // source, which lags.
     void set_adopted(audit::VersionPart part, std::uint64_t rank) {
         adopted_ranks_[part] = rank;
     }
@@ -50,8 +53,8 @@
     std::map<audit::VersionPart, std::uint64_t> adopted_ranks_;
 };
 
-// The list of a transfer that was received as valid. An address may hold on one machine only: where
-// `known` has the endpoint, its address is kept.
+// Returns the list of a transfer that was received as valid. An address may be valid on one machine
+// only, so the address of an endpoint that `known` contains is kept.
 TransferredList list_from(const wire::HandOver& transfer, const EndpointList& known);
 ReleaseStatus release_from(const wire::ReleaseStatus& from);
 
--- a/src/cluster/types.hpp
+++ b/src/cluster/types.hpp
@@ -8,48 +8,49 @@
 
 namespace tideline::cluster {
 
-using Name = Id<struct NameTag, std::string>;  // of a member, the same after a restart
-using Incarnation = Id<struct IncarnationTag, std::uint64_t>;  // of a process: higher at each start
-using RefutationCount =
-    Id<struct RefutationTag, std::uint32_t>;         // times that a member refuted its failure
-using Disk = Id<struct DiskTag, std::uint64_t>;      // drawn at first use of its folder; 0: none
+using Name = Id<struct NameTag, std::string>;  // of a member; unchanged by a restart
+// Of a process; higher at each start.
+using Incarnation = Id<struct IncarnationTag, std::uint64_t>;
+// How often a member has refuted a suspicion of itself.
+using RefutationCount = Id<struct RefutationTag, std::uint32_t>;
+using Disk = Id<struct DiskTag, std::uint64_t>;      // drawn when its folder is first used; 0: none
 using Place = Id<struct PlaceTag, std::string>;      // failure domain: its members fail together
-using PingId = Id<struct PingIdTag, std::uint64_t>;  // one ping of one member
+using PingId = Id<struct PingIdTag, std::uint64_t>;  // identifies a ping of one member
 using ListRevision = Id<struct ListTag, std::uint64_t>;  // the revision of the endpoint list
-using ReleaseRank =
-    Id<struct ReleaseRankTag, std::uint64_t>;  // of a release status: build, phase, stage
+// Rank of a release status by build, phase and stage.
+using ReleaseRank = Id<struct ReleaseRankTag, std::uint64_t>;
 
-enum class MemberState { present, suspected, gone, left };  // a later one overrides an earlier one
+enum class MemberState { present, suspected, gone, left };  // later states override earlier ones
 
-// What a member acts on. Neither part falls within an incarnation.
+// The versions that a member acts on. Neither part decreases within an incarnation.
 struct Version {
     ListRevision list;
     ReleaseRank release;
     bool operator==(const Version&) const = default;
 };
 
-// What is known of a member, as it is gossiped.
+// The gossiped state of a member.
 struct Entry {
     Name name;
     Incarnation incarnation;
     RefutationCount refutation_count;
     MemberState state = MemberState::present;
-    Name suspected_by;    // who suspects it, where it is suspected
+    Name suspected_by;    // the member that suspects it; empty if none does
     std::string address;  // host:port
     Place place;
     Disk disk;
-    Version version;                  // at least, by gossip
-    std::uint32_t ruling_number = 0;  // number of the last ruling on whether it is excluded
-    bool excluded = false;            // it is excluded, by the last ruling
+    Version version;                  // lower bounds, by gossip
+    std::uint32_t ruling_number = 0;  // number of the last ruling on its exclusion
+    bool excluded = false;            // by the last ruling
 };
 
-// It has not left and is not taken for failed.
+// Returns whether the member has neither left nor been declared gone.
 inline bool is_reachable(const Entry& entry) {
     return entry.state <= MemberState::suspected;
 }
 
-// Order of release statuses: a later build first, then a later phase, then the stage.
-// The phases go trial, released, reverting, withdrawn; none leads back within a build.
+// Ranks release statuses by build, then phase, then stage. The phases follow each other in the
+// order trial, released, reverting, withdrawn, and never go back within a build.
 inline ReleaseRank rank_of(Build build, Stage stage, Phase phase) {
     const auto place = phase == Phase::trial       ? 0
                        : phase == Phase::released  ? 1
--- a/src/cluster/wanted_alarms.cpp
+++ b/src/cluster/wanted_alarms.cpp
@@ -6,8 +6,8 @@
 namespace tideline::cluster {
 namespace {
 
-constexpr Seconds kAnswerTimeout = 5;  // s: an answer that takes longer was lost
-constexpr Seconds kRetryDelay = 0.5;   // s: after a change that was not committed
+constexpr Seconds kAnswerTimeout = 5;  // s, after which an answer is considered lost
+constexpr Seconds kRetryDelay = 0.5;   // s, after a change that was not committed
 
 }  // namespace
 
--- a/src/cluster/wanted_alarms.hpp
+++ b/src/cluster/wanted_alarms.hpp
@@ -1,4 +1,4 @@
-// The alarms that a lease holder wants to be raised or cleared at the planners.
+// The changes of alarms that a lease holder wants the planners to commit.
 #pragma once
 
 #include <map>
@@ -10,7 +10,7 @@
 
 namespace tideline::cluster {
 
-// An alarm as it is to be. `text` is empty where it is to be cleared.
+// The wanted state of an alarm. `text` is empty if the alarm is to be cleared.
 struct AlarmChange {
     lease::LeaseName lease;
     std::string key;
@@ -20,28 +20,28 @@
 };
 
 // Keeps the newest change of each alarm until the planners have committed it. At most one change of
-// an alarm is under way. One thread; no I/O, no clock: times are in seconds.
+// an alarm is in flight. Not thread-safe. Performs no I/O and reads no clock: times are in seconds.
 class WantedAlarms {
   public:
     // Replaces a change of the same alarm that is not committed yet.
     void want(const AlarmChange& change);
-    // The changes that are to be sent now; they are under way from then on.
+    // Returns the changes that are to be sent now, which are in flight from then on.
     std::vector<AlarmChange> take_due(Seconds now);
-    // The planners have answered the change of this alarm that is under way.
+    // Handles the planners' answer to the change of this alarm that is in flight.
     void on_answer(Seconds now, const lease::LeaseName& lease, const std::string& key,
                    bool committed);
-    // The lease is lost: its alarms are the next holder's.
+    // Drops the changes of a lost lease, whose alarms are managed by the next holder.
     void forget(const lease::LeaseName& lease);
-    // When take_due is to be called next; infinite while nothing waits.
+    // Returns when take_due() is to be called next; infinite if no change is waiting.
     Seconds due() const;
 
   private:
     struct Wanted {
         AlarmChange newest;
-        // What was sent last, and is not answered.
+        // The change that was sent last, not answered yet.
         AlarmChange sent;
         bool under_way = false;
-        // It is sent, or sent again, from then on.
+        // When the newest change is to be sent, or sent again.
         Seconds due_at = 0;
     };
     std::map<std::pair<lease::LeaseName, std::string>, Wanted> wanted_;
--- a/src/swim/dissemination.cpp
+++ b/src/swim/dissemination.cpp
@@ -9,11 +9,12 @@
 using cluster::MemberState;
 using cluster::Name;
 
-// Times log2 of the cluster's size that a change is sent: reaches all but few.
+// A change is sent this number of times log2 of the cluster size, which reaches all but a few
+// members.
 constexpr double kTransmissionFactor = 3;
-// Entries a message: recent changes.
+// Recent changes per message.
 constexpr std::size_t kMaxChanges = 6;
-// Entries a message sent in turn: what a lost message held comes again.
+// Entries per message that are sent in rotation. They repeat what lost messages carried.
 constexpr std::size_t kMaxInTurn = 4;
 
 }  // namespace
@@ -22,7 +23,8 @@
                                               const MemberTable& table, Seconds too_old) {
     std::vector<Entry> entries;
     std::set<Name> included;
-    // A suspect learns of it in the first message, so that it can refute.
+    // A suspected member learns of the suspicion from the first message to it, so that it can
+    // refute it.
     if (const Entry* entry = table.find(receiver); entry && entry->state != MemberState::present) {
         entries.push_back(*entry);
         included.insert(receiver);
@@ -37,9 +39,9 @@
     return entries;
 }
 
-// A change that was lost on the way to one member would stay unknown to it. So all entries are sent
-// in turn, a few a message; but not those that will soon be forgotten, or they would be passed on
-// for ever.
+// A member that missed a change would otherwise never learn of it. All entries are therefore sent
+// in rotation, a few per message. Entries that will soon be forgotten are left out, because they
+// would circulate for ever.
 void Dissemination::add_in_turn(std::vector<Entry>& entries, std::set<Name>& included,
                                 const MemberTable& table, Seconds too_old) {
     for (std::size_t i = 0; i < kMaxInTurn && !table.entries().empty(); ++i) {
--- a/src/swim/dissemination.hpp
+++ b/src/swim/dissemination.hpp
@@ -1,5 +1,5 @@
-// Which entries a message carries: of its receiver where that is suspected, recent changes, and
-// some of all entries in turn.
+// Selects the entries that a message carries: the entry of its receiver if that one is suspected,
+// recent changes, and some of all entries in rotation.
 #pragma once
 
 #include <set>
@@ -13,14 +13,14 @@
 
 class Dissemination {
   public:
-    // The entry of `name` has changed.
+    // Queues the entry of `name` as changed.
     void add(const cluster::Name& name) {
         changes_.add(name);
     }
     void remove(const cluster::Name& name) {
         changes_.remove(name);
     }
-    // Entries of members that are gone since before `too_old` are not sent in turn.
+    // Entries of members that have been gone since before `too_old` are not sent in rotation.
     std::vector<cluster::Entry> entries_for(const cluster::Name& receiver,
                                             const cluster::Entry& self, const MemberTable& table,
                                             Seconds too_old);
@@ -30,7 +30,7 @@
                      const MemberTable& table, Seconds too_old);
 
     GossipQueue changes_;
-    cluster::Name last_in_turn_;  // the entry that was last sent in turn
+    cluster::Name last_in_turn_;  // the entry that was last sent in rotation
 };
 
 }  // namespace tideline::swim
--- a/src/swim/entry_merge.cpp
+++ b/src/swim/entry_merge.cpp
@@ -25,8 +25,9 @@
     if (gossip_entry.state <= known.state) {
         return MergeDecision::ignored;
     }
-    // After a partition each half takes the other for gone. Only a member that is suspected here
-    // too is taken for gone by gossip: otherwise either half would remove members that are alive.
+    // After a partition, each side considers the other one gone. Gossip that a member is gone is
+    // therefore accepted only if it is suspected here as well: otherwise each side would remove
+    // live members of the other one.
     if (gossip_entry.state == MemberState::gone && known.state == MemberState::present) {
         return MergeDecision::accused_by_gossiper;
     }
@@ -49,9 +50,10 @@
     return true;
 }
 
-// The sender is alive. But what others were told of it, only its own next refutation takes back.
+// The message shows that the sender is alive, but only its own next refutation revokes what others
+// have learned about it.
 std::optional<Entry> merge_sender(Entry* known, const Entry& sender) {
-    // A message of its former incarnation that comes late may not undo what is known of this one.
+    // A delayed message of an earlier incarnation must not change what is known of this one.
     if (known && known->incarnation > sender.incarnation) {
         return std::nullopt;
     }
@@ -75,7 +77,8 @@
     if (gossip_entry.incarnation < self.incarnation) {
         return SelfMerge::unchanged;
     }
-    // An earlier start under a clock that was ahead; or another process under this name.
+    // The later incarnation stems from an earlier start with a clock that was ahead, or from
+    // another process with this name.
     if (gossip_entry.incarnation > self.incarnation) {
         self.incarnation = Incarnation{gossip_entry.incarnation.value + 1};
         self.refutation_count = RefutationCount{};
--- a/src/swim/failure_detector.cpp
+++ b/src/swim/failure_detector.cpp
@@ -10,9 +10,10 @@
 using cluster::Name;
 using cluster::PingId;
 
-// Members asked to ping in this one's stead: one bad link of four is no failure.
+// Members asked to ping the target on behalf of this one, so that one bad link of four does not
+// count as a failure.
 constexpr std::size_t kHelpers = 3;
-// Steps of health: a member that is slow itself waits up to nine times as long.
+// Highest local health score: a slow member waits up to nine times as long.
 constexpr int kMaxHealth = 8;
 
 }  // namespace
@@ -62,8 +63,8 @@
         degrade_health(-1);
         return std::nullopt;
     }
-    // A slow member finds all others silent. Helpers that send nothing, not even that they had no
-    // answer, are a sign of its own slowness: it waits longer from then on.
+    // To a slow member all others appear silent. Helpers that do not even report a missing answer
+    // are a sign that this member itself is slow, so it waits longer from now on.
     degrade_health(probe.helpers > 0 ? probe.helpers - probe.no_answers : 1);
     return probe.target;
 }
--- a/src/swim/gossip_queue.hpp
+++ b/src/swim/gossip_queue.hpp
@@ -1,4 +1,4 @@
-// Members whose entries changed of late, in the order in which they are piggybacked on messages.
+// Members whose entries changed recently, in the order in which they are piggybacked on messages.
 #pragma once
 
 #include <compare>
@@ -11,15 +11,15 @@
 
 namespace tideline::swim {
 
-// The entries that were sent least often come first, of these the latest change. Holds names only:
-// an entry is sent as it is known when it is sent.
+// Entries that were sent least often come first; among these, the latest change. Holds names only:
+// an entry is sent as it is known at that time.
 class GossipQueue {
   public:
-    // The entry of `name` has changed: it is sent anew as often as any change.
+    // Queues the entry of `name` as changed, with no transmissions counted.
     void add(const cluster::Name& name);
     void remove(const cluster::Name& name);
-    // Up to `most` names that are not in `skipped`, each counted as sent once more and dropped
-    // after `transmissions` of them. Adds the names to `skipped`.
+    // Returns up to `max_count` names that are not in `skipped`, and adds them to `skipped`. Each
+    // is counted as sent once more, and removed after `max_transmissions`.
     std::vector<cluster::Name> take(std::size_t max_count, int max_transmissions,
                                     std::set<cluster::Name>& skipped);
 
--- a/src/swim/indirect_pings.hpp
+++ b/src/swim/indirect_pings.hpp
@@ -1,4 +1,4 @@
-// Pings that this member sends on behalf of others that got no answer to their own.
+// Pings that this member sends on behalf of others whose own pings were not answered.
 #pragma once
 
 #include <algorithm>
@@ -12,17 +12,18 @@
 
 struct IndirectPing {
     cluster::Name requester;
-    cluster::PingId requested_id;  // the requester's
-    Seconds deadline = 0;          // for the target's answer
+    cluster::PingId requested_id;  // id of the requester's ping
+    Seconds deadline = 0;          // deadline of the target's answer
 };
 
 class IndirectPings {
   public:
-    // `id`: of the ping that this member sent to the target.
+    // `id` is that of the ping that this member sent to the target.
     void add(const cluster::PingId& id, const IndirectPing& ping) {
         pings_[id] = ping;
     }
-    // The ping was answered: removes and returns it; none where no such ping waits.
+    // Removes and returns the ping with that id, which was answered; std::nullopt if none is
+    // waiting.
     std::optional<IndirectPing> take(const cluster::PingId& id) {
         const auto it = pings_.find(id);
         if (it == pings_.end()) {
@@ -32,7 +33,7 @@
         pings_.erase(it);
         return ping;
     }
-    // Removes and returns those whose deadline has come.
+    // Removes and returns the pings whose deadline has passed.
     std::vector<IndirectPing> take_expired(Seconds now) {
         std::vector<IndirectPing> expired;
         for (auto it = pings_.begin(); it != pings_.end();) {
@@ -45,7 +46,7 @@
         }
         return expired;
     }
-    // The first deadline of all, or `latest` where that is earlier.
+    // Returns the earliest deadline, or `latest` if that is earlier.
     Seconds next_deadline(Seconds latest) const {
         Seconds next = latest;
         for (const auto& [id, ping] : pings_) {
--- a/src/swim/member_table.hpp
+++ b/src/swim/member_table.hpp
@@ -1,5 +1,5 @@
-// The other members that are known, with what is known of each; those that are gone or left are
-// remembered for a while, so that old gossip doesn't bring them back.
+// The table of the other members. Members that are gone or have left are remembered for a while, so
+// that old gossip doesn't bring them back.
 #pragma once
 
 #include <map>
@@ -11,37 +11,40 @@
 
 class MemberTable {
   public:
-    // What a new entry changed against the one that was known.
+    // The differences between a new entry and the one that it replaced.
     struct Change {
-        cluster::MemberState before = cluster::MemberState::left;  // left: was not known
+        // Left if the member was not known.
+        cluster::MemberState before = cluster::MemberState::left;
         bool new_incarnation = false;
-        bool changed = false;  // anything that other members have to know
-        bool joined = false;   // counts among the present from now on
+        bool changed = false;  // anything that must be gossiped
+        bool joined = false;   // counts as present from now on
     };
-    // Replaces what is known of the member.
+    // Adds or replaces the member's entry.
     Change put(Seconds now, const cluster::Entry& entry);
-    // Removes those that are gone or left for longer than `remembered`, and returns their names.
+    // Removes the members that have been gone or have left for longer than `remembered`, and
+    // returns their names.
     std::vector<cluster::Name> forget(Seconds now, Seconds remembered);
 
-    // nullptr where it is not known. Valid until the member is forgotten.
+    // Returns nullptr if the member is not known. The pointer is valid until the member is
+    // forgotten.
     cluster::Entry* find(const cluster::Name& name);
     const cluster::Entry* find(const cluster::Name& name) const;
     bool gone_before(const cluster::Name& name, Seconds time) const;
-    // The member behind `name` in the order of names, the first one behind the last. Not to be
-    // called on an empty table.
+    // Returns the entry that follows `name` in the order of names, or the first one after the last.
+    // The table must not be empty.
     const cluster::Entry& entry_after(const cluster::Name& name) const;
     const std::map<cluster::Name, cluster::Entry>& entries() const {
         return entries_;
     }
-    // Gone or left, and since when.
+    // The members that are gone or have left, each with the time since when.
     const std::map<cluster::Name, Seconds>& gone_since() const {
         return gone_since_;
     }
-    // Present or suspected.
+    // Returns the number of members that are present or suspected.
     std::size_t present() const {
         return present_;
     }
-    // The same with this member itself, for formulas.
+    // Returns the same number with this member included, for use in formulas.
     double cluster_size() const {
         return static_cast<double>(present_ + 1);
     }
--- a/src/swim/ping_order.cpp
+++ b/src/swim/ping_order.cpp
@@ -8,7 +8,8 @@
 
 using cluster::Name;
 
-constexpr std::size_t kTriesPerDraw = 4;  // members may be drawn twice, or not be accepted
+// A draw may hit a member that was drawn already or is not accepted.
+constexpr std::size_t kTriesPerDraw = 4;
 
 }  // namespace
 
--- a/src/swim/ping_order.hpp
+++ b/src/swim/ping_order.hpp
@@ -1,4 +1,4 @@
-// Whom to ping next: each member once a round, in an order that is shuffled after each round.
+// The order in which members are pinged: each once per round, shuffled after each round.
 #pragma once
 
 #include <functional>
@@ -13,12 +13,13 @@
 class PingOrder {
   public:
     using Accepts = std::function<bool(const cluster::Name&)>;
-    // At a random place; nothing where the member is in the order already.
+    // Inserts the member at a random position; does nothing if it is in the order already.
     void insert(const cluster::Name& name, RandomSource& random);
-    // The next of the round. Names that are not `pinged` any more leave the order.
+    // Returns the next member of the round. Members for which `pinged` is false are removed from
+    // the order.
     std::optional<cluster::Name> next(RandomSource& random, const Accepts& pinged);
-    // Up to `most` members drawn at random of those that `accepts`, each at most once; fewer where
-    // few are found in some tries.
+    // Returns up to `max_count` different members that `accepts`, drawn at random. The number of
+    // draws is limited, so it may return fewer.
     std::vector<cluster::Name> draw(std::size_t max_count, RandomSource& random,
                                     const Accepts& accepts) const;
 
--- a/src/swim/suspicions.cpp
+++ b/src/swim/suspicions.cpp
@@ -8,14 +8,15 @@
 
 using cluster::Name;
 
-// Shortest time to refute, in periods times log10 of the cluster's size: the suspect hears of it
-// and answers.
+// Shortest time-out of a suspicion, in periods times log10 of the cluster size: the suspect learns
+// of the suspicion and refutes it within that time.
 constexpr double kMinTimeoutFactor = 4;
-// Longest time, of the shortest: while one member alone accuses, it may be the slow one.
+// Longest time-out, as a multiple of the shortest. It holds for a single accuser, which may itself
+// be the slow member.
 constexpr double kMaxTimeoutFactor = 3;
-// Further accusers after which the shortest time holds.
+// Number of further accusers after which the shortest time-out holds.
 constexpr double kMaxFurtherAccusers = 3;
-constexpr double kMinClusterSize = 10;  // members: the logarithm is at least 1
+constexpr double kMinClusterSize = 10;  // members, so that the logarithm is at least 1
 
 }  // namespace
 
@@ -29,7 +30,7 @@
            suspicion.accusers.insert(accuser).second;
 }
 
-// Long while one member alone accuses, and shorter as others join in.
+// The time-out is longest with a single accuser, and decreases as others join.
 Seconds Suspicions::deadline(const Suspicion& suspicion, double cluster_size, Seconds period) {
     const double shortest =
         kMinTimeoutFactor * std::log10(std::max(kMinClusterSize, cluster_size)) * period;
--- a/src/swim/suspicions.hpp
+++ b/src/swim/suspicions.hpp
@@ -1,4 +1,5 @@
-// The members that are suspected to have failed, who accuses each, and until when it may refute.
+// The members that are suspected to have failed, with their accusers and the time until which they
+// can refute.
 #pragma once
 
 #include <map>
@@ -12,15 +13,15 @@
 class Suspicions {
   public:
     void start(Seconds now, const cluster::Name& suspect, const cluster::Name& accuser);
-    // True where the accuser is a new one and counts.
+    // Returns whether the accuser is a new one that counts.
     bool add_accuser(const cluster::Name& suspect, const cluster::Name& accuser);
     void remove(const cluster::Name& suspect) {
         suspicions_.erase(suspect);
     }
-    // Those whose time to refute is over. `cluster_size`: members present, this one included;
-    // `period`: from one ping to the next, in seconds.
+    // Returns the members whose time to refute is over. `cluster_size` is the number of present
+    // members, this one included; `period` is the interval between two pings, in seconds.
     std::vector<cluster::Name> expired(Seconds now, double cluster_size, Seconds period) const;
-    // The first deadline of all, or `latest` where that is earlier.
+    // Returns the earliest deadline, or `latest` if that is earlier.
     Seconds next_deadline(Seconds latest, double cluster_size, Seconds period) const;
     void postpone(Seconds by);
 
--- a/src/swim/table_exchange.hpp
+++ b/src/swim/table_exchange.hpp
@@ -1,4 +1,4 @@
-// Whole tables, as members send them to those that join or come back after a partition.
+// Complete tables, which members send to others that join or return after a partition.
 #pragma once
 
 #include <map>
@@ -12,10 +12,10 @@
 
 class TableExchange {
   public:
-    using Parts = std::vector<std::vector<cluster::Entry>>;  // one a message
+    using Parts = std::vector<std::vector<cluster::Entry>>;  // one part per message
 
-    // The table for `receiver`, without members that are gone since before `too_old`. Empty where
-    // one was sent there less than `interval` seconds ago.
+    // Returns the table for `receiver`, without the members that have been gone since before
+    // `too_old`. Returns nothing if a table was sent there less than `interval` seconds ago.
     Parts parts_for(Seconds now, const cluster::Name& receiver, Seconds interval,
                     const cluster::Entry& self, const MemberTable& table, Seconds too_old);
     void forget(const cluster::Name& name) {
@@ -26,7 +26,8 @@
     std::map<cluster::Name, Seconds> last_sent_;
 };
 
-// Where to ask for a table: seeds that no reachable member listens at, and members that are gone.
+// Returns the addresses at which to request a table: seeds at which no reachable member listens,
+// and members that are gone.
 std::vector<std::string> addresses_to_rejoin(const std::string& own_address,
                                              const std::vector<std::string>& seeds,
                                              const MemberTable& table);
--- a/tests/cluster/audit_log_test.cpp
+++ b/tests/cluster/audit_log_test.cpp
@@ -1,4 +1,5 @@
-// The audit log: its chain of seals, the heads that other members remember, and what is stored.
+// Tests of the audit log: its chain of seals, the seals that other members remember, and what is
+// stored.
 #include "audit/audit_log.hpp"
 
 #include <rapidcheck.h>
@@ -171,7 +172,7 @@
         cut.epochs.pop_back();
         CHECK(find_record_fault(cut).empty());
         CHECK_FALSE(heads.find_record_fault(cut).empty());
-        // A head shown late is no fault; another seal of that epoch is.
+        // A seal that is reported late is no fault; another seal of that epoch is.
         CHECK(heads.observe_seal(Name{"a"}, Incarnation{3}, 2, before.epochs[1].digest).empty());
         CHECK_FALSE(
             heads.observe_seal(Name{"a"}, Incarnation{3}, 2, before.epochs[0].digest).empty());
--- a/tests/cluster/cluster_config_test.cpp
+++ b/tests/cluster/cluster_config_test.cpp
@@ -1,4 +1,4 @@
-// The operator file of a member of the fleet.
+// Tests of the cluster configuration of a member.
 #include "cluster/cluster_config.hpp"
 
 #include <catch2/catch.hpp>
@@ -8,7 +8,8 @@
 
 using cluster::ClusterConfig;
 
-// Guards against a reload that says that all has taken effect where only a restart does it.
+// Guards against a reload that reports settings as applied although they take effect only at the
+// next start.
 TEST_CASE("a reload says that a restart is needed for what only a start reads") {
     const ClusterConfig started;
     ClusterConfig fresh = started;
@@ -30,7 +31,7 @@
         ClusterConfig changed = fresh;
         change(changed);
         CHECK(needs_restart(started, changed));
-        // Back to what the member was started with: whatever a reload between had.
+        // A reload to the configuration at start needs no restart, whatever was loaded in between.
         CHECK_FALSE(needs_restart(started, fresh));
     }
 }
--- a/tests/cluster/cluster_fixture.hpp
+++ b/tests/cluster/cluster_fixture.hpp
@@ -1,5 +1,5 @@
-// Shared by the tests of membership and version audit: hosts that record the calls they get, and
-// entries.
+// Shared by the tests of membership and version audit: hosts that record the calls they receive,
+// and functions that build entries.
 #pragma once
 
 #include <catch2/catch.hpp>
--- a/tests/cluster/frame_test.cpp
+++ b/tests/cluster/frame_test.cpp
@@ -1,4 +1,5 @@
-// Frames, messages and the operator file: round trips, any split, damage.
+// Tests of frames, messages and the cluster configuration: round trips, arbitrary splits, and
+// damage.
 #include "cluster/frame.hpp"
 
 #include <rapidcheck.h>
@@ -12,7 +13,8 @@
 
 constexpr std::size_t kMaxBodyBytes = 4096;
 
-// All complete frames of the bytes, given in pieces of those sizes; false if one was malformed.
+// Reads `bytes` in pieces of these sizes. Returns the bodies of all complete frames, and false if a
+// frame was malformed or incomplete.
 std::pair<std::vector<std::string>, bool> read_in_pieces(const std::string& bytes,
                                                          const std::vector<std::size_t>& sizes) {
     std::vector<std::string> bodies;
--- a/tests/cluster/fuzz_frames.cpp
+++ b/tests/cluster/fuzz_frames.cpp
@@ -1,6 +1,6 @@
-// The frame reader and the words behind it on bytes of any kind. LLVMFuzzerTestOneInput is what a
-// fuzzer calls; built without one, this runs seeded damage to good frames for a bounded time:
-// fuzz_frames SECONDS [SEED].
+// Fuzz test of the frame reader and the message decoder with arbitrary bytes. A fuzzer calls
+// LLVMFuzzerTestOneInput. Without one, main() applies seeded damage to valid frames for a limited
+// time: fuzz_frames SECONDS [SEED].
 #include <chrono>
 #include <cstdio>
 #include <cstdlib>
@@ -60,8 +60,8 @@
                 message.mutable_record()->add_epochs()->set_cap(0.5);
             }
             std::string body = message.SerializeAsString();
-            // Damage under a valid checksum reaches the messages; damage to the frame reaches its
-            // reader.
+            // Damage under a valid checksum reaches the message decoder; damage to the frame
+            // reaches the frame reader.
             if (!body.empty() && draw_below(2)) {
                 body[draw_below(body.size())] = static_cast<char>(engine());
             }
--- a/tests/cluster/wanted_alarms_test.cpp
+++ b/tests/cluster/wanted_alarms_test.cpp
@@ -1,4 +1,4 @@
-// The alarms that a lease holder wants at the planners.
+// Tests of the alarm changes that a lease holder sends to the planners.
 #include "cluster/wanted_alarms.hpp"
 
 #include <catch2/catch.hpp>
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-// Guards against a change that was dropped because one of the same alarm was under way.
+// Guards against dropping a change because another one of the same alarm was in flight.
 TEST_CASE("a change of an alarm that comes while another is under way is sent after it") {
     WantedAlarms wanted;
     wanted.want(raised("14"));
