--- a/src/audit/peer_versions.cpp
+++ b/src/audit/peer_versions.cpp
@@ -14,7 +14,7 @@
     return it == versions.end() ? 0 : it->second.rank;
 }
 
-PeerVersion* PeerVersions::of_incarnation(const Name& name, const Incarnation& incarnation) {
+PeerVersion* PeerVersions::entry_for_incarnation(const Name& name, const Incarnation& incarnation) {
     PeerVersion& peer = peers_[name];
     if (incarnation < peer.incarnation) {
         return nullptr;
@@ -107,8 +107,8 @@
             names.push_back(name);
         }
     }
-    const std::size_t most = max_excluded(share);
-    const std::size_t remaining = most > count_gone() ? most - count_gone() : 0;
+    const std::size_t limit = max_excluded(share);
+    const std::size_t remaining = limit > count_gone() ? limit - count_gone() : 0;
     if (names.size() > remaining) {
         names.resize(remaining);
     }
--- a/src/audit/peer_versions.hpp
+++ b/src/audit/peer_versions.hpp
@@ -49,7 +49,8 @@
 
     // Returns the entry for that incarnation of the peer. A later incarnation replaces the entry;
     // for an earlier one, nullptr is returned. The pointer is valid until the peer is removed.
-    PeerVersion* of_incarnation(const cluster::Name& name, const cluster::Incarnation& incarnation);
+    PeerVersion* entry_for_incarnation(const cluster::Name& name,
+                                       const cluster::Incarnation& incarnation);
     void remove(const cluster::Name& name) {
         peers_.erase(name);
     }
--- a/src/audit/version_audit.hpp
+++ b/src/audit/version_audit.hpp
@@ -21,7 +21,7 @@
 using cluster::Name;
 using cluster::Version;
 
-enum class VersionStatus { current, behind, straggler, shut_out, unheard };
+enum class VersionStatus { current, behind, straggler, excluded, unheard };
 
 class VersionAuditHost {
   public:
--- a/src/audit/version_audit_queries.cpp
+++ b/src/audit/version_audit_queries.cpp
@@ -7,11 +7,11 @@
 
 Seconds VersionAudit::behind_for(Seconds now, const Name& name) const {
     if (name == self_) {
-        Seconds most = 0;
+        Seconds longest = 0;
         for (const auto& [part, since] : self_behind_since_) {
-            most = std::max(most, now - since);
+            longest = std::max(longest, now - since);
         }
-        return most;
+        return longest;
     }
     const PeerVersion* peer = peers_.find(name);
     return !peer || peer->behind_since < 0 ? 0 : now - peer->behind_since;
@@ -21,7 +21,7 @@
     const Seconds behind = behind_for(now, name);
     if (name == self_) {
         if (excluded_by_ruling_ && !self_behind_since_.empty()) {
-            return VersionStatus::shut_out;
+            return VersionStatus::excluded;
         }
     } else {
         const PeerVersion* peer = peers_.find(name);
@@ -29,7 +29,7 @@
             return VersionStatus::unheard;
         }
         if (is_excluded(name)) {
-            return VersionStatus::shut_out;
+            return VersionStatus::excluded;
         }
     }
     return behind <= 0                 ? VersionStatus::current
--- a/src/cluster/active_state.cpp
+++ b/src/cluster/active_state.cpp
@@ -61,7 +61,7 @@
         [](const auto& each) { return each.second.info.state == EndpointState::ready; }));
 }
 
-bool ActiveState::on_trial_build(const EndpointId& endpoint) const {
+bool ActiveState::runs_trial_build(const EndpointId& endpoint) const {
     const EndpointInfo* info = find_endpoint(endpoint);
     const Build build = info ? info->build : Build{};
     return build > release_.build || (build == release_.build && release_.phase != Phase::released);
--- a/src/cluster/active_state.hpp
+++ b/src/cluster/active_state.hpp
@@ -53,7 +53,7 @@
     const EndpointInfo* find_endpoint(const EndpointId& endpoint) const;
     std::size_t ready_endpoints() const;
     // Returns whether the endpoint runs a build that is not released yet.
-    bool on_trial_build(const EndpointId& endpoint) const;
+    bool runs_trial_build(const EndpointId& endpoint) const;
     // Returns a version of rank 0 if the part was not set yet.
     audit::ContentVersion version(audit::VersionPart part) const;
 
--- a/src/cluster/audit_queries.cpp
+++ b/src/cluster/audit_queries.cpp
@@ -30,15 +30,15 @@
     start_query(link, with_records, false);
 }
 
-void AuditQueries::start_own_query() {
+void AuditQueries::start_fleet_audit() {
     start_query({}, true, true);
 }
 
-void AuditQueries::start_query(LinkId link, bool with_records, bool own) {
+void AuditQueries::start_query(LinkId link, bool with_records, bool is_fleet_audit) {
     const std::uint64_t id = ++last_query_id_;
     Query query;
     query.link = link;
-    query.own = own;
+    query.is_fleet_audit = is_fleet_audit;
     query.deadline = net::clock_now() + kRecordTimeout;
     wire::Row self = make_row(membership_.self());
     if (with_records) {
@@ -119,7 +119,7 @@
 }
 
 void AuditQueries::send_row(Query& query, wire::Row row) {
-    if (query.own) {
+    if (query.is_fleet_audit) {
         return query.rows.push_back(std::move(row));
     }
     wire::Word message;
@@ -129,8 +129,8 @@
 }
 
 void AuditQueries::finish_query(const Query& query) {
-    if (query.own) {
-        return finished_(query.rows);
+    if (query.is_fleet_audit) {
+        return on_query_finished_(query.rows);
     }
     wire::Word message;
     *message.mutable_fleet() = make_answer();
--- a/src/cluster/cluster_config.cpp
+++ b/src/cluster/cluster_config.cpp
@@ -75,7 +75,7 @@
          {"repair_rate", read.number(replication.replica.repair_rate, 1e3, 1e9, " bytes a second")},
          {"compare", read.number(replication.replica.comparison_interval, 0.2, 86400, " s")},
          {"scrub", read.number(replication.scrub_interval, 1, 30 * 86400.0, " s")},
-         {"grouped", read.yes_or_no(replication.group_commit)}});
+         {"grouped", read.boolean(replication.group_commit)}});
     if (replication.repair_coordinator.min_replicas == 0) {
         replication.repair_coordinator.min_replicas = replication.repair_coordinator.replicas;
     }
--- a/src/cluster/cluster_member.cpp
+++ b/src/cluster/cluster_member.cpp
@@ -81,9 +81,9 @@
     if (!cluster_config.replication.enabled) {
         return;
     }
-    ReplicationAgent::Owner& holder = *this;
+    ReplicationAgent::Owner& replication_owner = *this;
     replication_agent_ = std::make_unique<ReplicationAgent>(
-        loop, log, holder, cluster_config, member_store_.incarnation(), new_disk_id());
+        loop, log, replication_owner, cluster_config, member_store_.incarnation(), new_disk_id());
     receiver_.set_replication(replication_agent_.get());
 }
 
@@ -92,8 +92,8 @@
     loop_.timers.cancel(review_timer_);
 }
 
-void ClusterMember::begin(net::ObservedSidecar& observed) {
-    observed_ = &observed;
+void ClusterMember::begin(net::ObservedSidecar& sidecar) {
+    sidecar_ = &sidecar;
     began_ = true;
     publish_state();
     schedule_membership_tick();
@@ -102,7 +102,7 @@
         leased_tasks_->begin();
     }
     if (replication_agent_) {
-        replication_agent_->begin(observed);
+        replication_agent_->begin(sidecar);
     }
     log_.line("cluster member started: name={} address={} incarnation={} folder={} seeds={}",
               cluster_config_.name.value, cluster_config_.address,
@@ -138,18 +138,18 @@
 }
 
 void ClusterMember::endpoint_list_applied(std::int64_t revision, EndpointListKind kind,
-                                          const std::vector<EndpointInfo>& lines,
+                                          const std::vector<EndpointInfo>& endpoints,
                                           const std::vector<net::Address>& addresses) {
     if (kind != EndpointListKind::changes) {
         clear_endpoints();
     }
     std::uint64_t drains = 0;
-    for (std::size_t i = 0; i < lines.size(); ++i) {
-        const bool drains_now = state_.update_endpoint(lines[i], addresses[i]);
+    for (std::size_t i = 0; i < endpoints.size(); ++i) {
+        const bool drains_now = state_.update_endpoint(endpoints[i], addresses[i]);
         drains += drains_now ? 1 : 0;
         if (leased_tasks_) {
-            const bool ready = lines[i].state == EndpointState::ready;
-            leased_tasks_->endpoint_updated(lines[i].id, ready, lines[i].started);
+            const bool ready = endpoints[i].state == EndpointState::ready;
+            leased_tasks_->endpoint_updated(endpoints[i].id, ready, endpoints[i].started);
         }
     }
     if (leased_tasks_) {
@@ -189,7 +189,7 @@
     if (leased_tasks_) {
         leased_tasks_->attempted();
     }
-    audit_log_.add_attempt(state_.on_trial_build(endpoint));
+    audit_log_.add_attempt(state_.runs_trial_build(endpoint));
 }
 
 void ClusterMember::publish_state() {
@@ -211,7 +211,7 @@
 }
 
 void ClusterMember::on_epoch_sealed(const audit::Epoch& epoch) {
-    if (!member_store_.keep(epoch) && !std::exchange(member_store_full_, true)) {
+    if (!member_store_.keep(epoch) && !std::exchange(epoch_store_failed_, true)) {
         log_.alarm("audit epochs not written: folder={}", cluster_config_.folder);
     }
     // Deferred, because the audit log is still sealing this epoch and every message carries the
@@ -272,8 +272,8 @@
     trial_participation_ = trial_participation;
     // Deferred, because the cores must not be called back from within their own calls.
     loop_.timers.soon([this] {
-        if (observed_) {
-            observed_->set_trial_participation(trial_participation_);
+        if (sidecar_) {
+            sidecar_->set_trial_participation(trial_participation_);
         }
         publish_state();
     });
@@ -287,7 +287,7 @@
 }
 
 void ClusterMember::adopt_transfer(VersionPart part, const ContentVersion& version) {
-    if (!observed_) {
+    if (!sidecar_) {
         return;
     }
     const auto transfer = transfers_.take(part, version);
@@ -298,12 +298,12 @@
     log_.line("state transfer adopted: part={} rank={}", name_of(part), version.rank);
     if (part == VersionPart::release) {
         const ReleaseStatus release = release_from(transfer->news());
-        return observed_->apply_stage(release.build, release.stage, release.phase, release.cap,
-                                      std::max(0.0, net::clock_now() - release.since));
+        return sidecar_->apply_stage(release.build, release.stage, release.phase, release.cap,
+                                     std::max(0.0, net::clock_now() - release.since));
     }
     const TransferredList list = list_from(*transfer, state_.endpoints());
-    observed_->apply_endpoint_list(static_cast<std::int64_t>(version.rank), list.endpoints,
-                                   list.addresses);
+    sidecar_->apply_endpoint_list(static_cast<std::int64_t>(version.rank), list.endpoints,
+                                  list.addresses);
 }
 
 // --- PeerConnections::Owner
@@ -351,8 +351,8 @@
 void ClusterMember::set_slow_start_limit(const EndpointId& endpoint, double max_attempts,
                                          Seconds valid) {
     loop_.timers.soon([this, endpoint, max_attempts, valid] {
-        if (observed_) {
-            observed_->set_slow_start_limit(endpoint, max_attempts, valid);
+        if (sidecar_) {
+            sidecar_->set_slow_start_limit(endpoint, max_attempts, valid);
         }
     });
 }
--- a/src/cluster/cluster_member.hpp
+++ b/src/cluster/cluster_member.hpp
@@ -41,7 +41,7 @@
     ClusterMember(const ClusterMember&) = delete;
     ClusterMember& operator=(const ClusterMember&) = delete;
     ~ClusterMember() override;
-    void begin(net::ObservedSidecar& observed);
+    void begin(net::ObservedSidecar& sidecar);
     // Returns nullptr without replication.
     net::DuplicateEffectGuard* effect_guard() {
         return replication_agent_.get();
@@ -57,7 +57,7 @@
     // net::FleetObserver
     bool takes_revision(std::int64_t revision) override;
     void endpoint_list_applied(std::int64_t revision, EndpointListKind kind,
-                               const std::vector<EndpointInfo>& lines,
+                               const std::vector<EndpointInfo>& endpoints,
                                const std::vector<net::Address>& addresses) override;
     bool release_status_received(Build build, Stage stage, Phase phase, double cap,
                                  Seconds age) override;
@@ -87,8 +87,8 @@
     void request_table(const std::string& address) override {
         messenger_.request_member_table(address);
     }
-    void send_table(const Name& to, const Gossip& part, bool wants_back) override {
-        messenger_.send_member_table(to, part, wants_back);
+    void send_table(const Name& to, const Gossip& part, bool wants_reply) override {
+        messenger_.send_member_table(to, part, wants_reply);
     }
     void on_member_changed(const Entry& entry, MemberState before, bool new_incarnation) override;
     void raise_membership_alarm(const std::string& text) override {
@@ -114,7 +114,7 @@
     void on_epoch_sealed(const audit::Epoch& epoch) override;
     // LeasedTasks::Owner
     void request_audit() override {
-        queries_.start_own_query();
+        queries_.start_fleet_audit();
     }
     std::vector<Name> present_members() const override;
     void send_slow_start_limits(const Name& to, const wire::Paces& limits) override {
@@ -186,7 +186,7 @@
     const ClusterConfig started_config_;
     // As last reloaded.
     ClusterConfig cluster_config_;
-    net::ObservedSidecar* observed_ = nullptr;
+    net::ObservedSidecar* sidecar_ = nullptr;
     const std::string sidecar_config_digest_;
     MemberStore member_store_;
     audit::SealedHeads heads_;
@@ -204,7 +204,7 @@
     std::unique_ptr<ReplicationAgent> replication_agent_;  // null without replication
     net::Timers::Id membership_timer_ = net::Timers::kNone;
     net::Timers::Id review_timer_ = net::Timers::kNone;
-    bool member_store_full_ = false;
+    bool epoch_store_failed_ = false;
     bool began_ = false;
 };
 
--- a/src/cluster/config_reader.hpp
+++ b/src/cluster/config_reader.hpp
@@ -26,7 +26,7 @@
 // throws nothing itself.
 class Reader {
   public:
-    using Takes = std::function<void(const Setting&)>;
+    using SettingParser = std::function<void(const Setting&)>;
     explicit Reader(std::vector<ConfigError>& faults) : faults_(faults) {}
 
     void fault(const Setting& at, const std::string& what) {
@@ -34,20 +34,20 @@
         faults_.push_back({static_cast<int>(at.getSourceLine()),
                            path.empty() ? what : fmt::format("{}: {}", path, what)});
     }
-    void group(const Setting& from, const std::map<std::string, Takes>& known) {
+    void group(const Setting& from, const std::map<std::string, SettingParser>& known) {
         if (!from.isGroup()) {
             return fault(from, "is not a group; allowed: { name = value; ... }");
         }
         for (int i = 0; i < from.getLength(); ++i) {
-            const auto takes = known.find(from[i].getName());
-            if (takes == known.end()) {
+            const auto parser = known.find(from[i].getName());
+            if (parser == known.end()) {
                 fault(from[i], "is not a known setting; allowed: " + names_of(known));
             } else {
-                takes->second(from[i]);
+                parser->second(from[i]);
             }
         }
     }
-    Takes text(std::string& to) {
+    SettingParser text(std::string& to) {
         return [this, &to](const Setting& from) {
             if (from.getType() != Setting::TypeString || !*from.c_str()) {
                 return fault(from, "is not a text; allowed: a text in quotation marks, not empty");
@@ -55,7 +55,7 @@
             to = from.c_str();
         };
     }
-    Takes yes_or_no(bool& to) {
+    SettingParser boolean(bool& to) {
         return [this, &to](const Setting& from) {
             if (from.getType() != Setting::TypeBoolean) {
                 return fault(from, "is not a boolean; allowed: true or false");
@@ -63,7 +63,7 @@
             to = from;
         };
     }
-    Takes address(std::string& to) {
+    SettingParser address(std::string& to) {
         return [this, &to](const Setting& from) {
             if (from.getType() != Setting::TypeString) {
                 return fault(from, fmt::format("is not a text; allowed: {}", kAddressForm));
@@ -75,7 +75,7 @@
             to = from.c_str();
         };
     }
-    Takes addresses(std::vector<std::string>& to) {
+    SettingParser addresses(std::vector<std::string>& to) {
         return [this, &to](const Setting& from) {
             if (!from.isArray() && !from.isList()) {
                 return fault(from, "is not a list; allowed: [ \"host:port\", ... ]");
@@ -87,7 +87,7 @@
         };
     }
     template <class Number>
-    Takes number(Number& to, double least, double most, const char* unit = "") {
+    SettingParser number(Number& to, double least, double most, const char* unit = "") {
         return [this, &to, least, most, unit](const Setting& from) {
             if (!from.isNumber()) {
                 return fault(from, fmt::format("is not a number; allowed: {}{} to {}{}", least,
@@ -111,9 +111,9 @@
 
   private:
     static constexpr const char* kAddressForm = "host:port in digits, as 10.0.0.1:7000";
-    static std::string names_of(const std::map<std::string, Takes>& known) {
+    static std::string names_of(const std::map<std::string, SettingParser>& known) {
         std::string names;
-        for (const auto& [name, takes] : known) {
+        for (const auto& [name, parser] : known) {
             names += (names.empty() ? "" : ", ") + name;
         }
         return names;
--- a/src/cluster/member_messenger.cpp
+++ b/src/cluster/member_messenger.cpp
@@ -62,10 +62,10 @@
     connections_.send(address, message);
 }
 
-void MemberMessenger::send_member_table(const Name& to, const Gossip& part, bool wants_back) {
+void MemberMessenger::send_member_table(const Name& to, const Gossip& part, bool wants_reply) {
     wire::Word message = new_message();
     put(part, *message.mutable_table()->mutable_part());
-    message.mutable_table()->set_wants_back(wants_back);
+    message.mutable_table()->set_wants_back(wants_reply);
     send(to, message);
 }
 
--- a/src/cluster/member_messenger.hpp
+++ b/src/cluster/member_messenger.hpp
@@ -39,7 +39,7 @@
     void report_no_answer(const Name& to, PingId id);
     // Sends the request to the member that listens at the address, whichever it is.
     void request_member_table(const std::string& address);
-    void send_member_table(const Name& to, const Gossip& part, bool wants_back);
+    void send_member_table(const Name& to, const Gossip& part, bool wants_reply);
 
     void request_state(const Name& from, audit::VersionPart part);
     void transfer_state(const Name& to, audit::VersionPart part);
--- a/src/cluster/member_store.hpp
+++ b/src/cluster/member_store.hpp
@@ -26,7 +26,7 @@
     const audit::Digest& root() const {
         return root_;
     }
-    // Returns a one-line description of the damage that was found in the folder, or an empty
+    // Returns a one-line description of the damage in the folder, or an empty
     // string.
     const std::string& found() const {
         return damage_;
--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -154,7 +154,7 @@
         return;
     }
     if (known.state == MemberState::present) {
-        suspicions_.start(now, name, accuser);
+        suspicions_.start_suspicion(now, name, accuser);
         Entry accused = known;
         accused.state = MemberState::suspected;
         accused.suspected_by = accuser;
@@ -230,7 +230,7 @@
 void Membership::answered(Seconds now, const Entry& from, PingId ping_id, const Gossip& gossip) {
     heard_from(now, from);
     merge_all(now, gossip, from.name);
-    detector_.answered(ping_id);
+    detector_.on_answer(ping_id);
     if (const auto ping = indirect_pings_.take(ping_id)) {
         host_->acknowledge(ping->requester, ping->requested_id, gossip_for(ping->requester));
     }
@@ -238,18 +238,18 @@
 }
 
 void Membership::unreachable(Seconds now, const Name& name) {
-    if (detector_.connection_failed(now, name)) {
+    if (detector_.on_connection_failed(now, name)) {
         due_ = std::min(due_, now);
     }
 }
 
 // --- Tables: joining, and reconnecting after a partition
-void Membership::send_table(Seconds now, const Name& to, bool wants_back) {
+void Membership::send_table(Seconds now, const Name& to, bool wants_reply) {
     const auto parts = table_exchange_.parts_for(
-        now, to, kMinTableIntervalInPeriods * settings_.period, self_, table_, too_old(now));
+        now, to, kMinTableIntervalInPeriods * settings_.period, self_, table_, gossip_cutoff(now));
     for (std::size_t i = 0; i < parts.size(); ++i) {
         const bool last = i + 1 == parts.size();
-        host_->send_table(to, parts[i], last && wants_back);
+        host_->send_table(to, parts[i], last && wants_reply);
     }
 }
 
@@ -262,12 +262,12 @@
 }
 
 void Membership::table_received(Seconds now, const Entry& from, const Gossip& part,
-                                bool wants_back) {
+                                bool wants_reply) {
     heard_from(now, from);
     for (const Entry& entry : part) {
         merge(now, entry, from.name, true);
     }
-    if (wants_back && !left_) {
+    if (wants_reply && !left_) {
         send_table(now, from.name, false);
     }
     update_due();
--- a/src/cluster/membership.hpp
+++ b/src/cluster/membership.hpp
@@ -35,7 +35,7 @@
     virtual void report_no_answer(const Name& to, PingId ping_id) = 0;
     // Asks the member that listens at the address, whichever it is, for its table.
     virtual void request_table(const std::string& address) = 0;
-    virtual void send_table(const Name& to, const Gossip& part, bool wants_back) = 0;
+    virtual void send_table(const Name& to, const Gossip& part, bool wants_reply) = 0;
     virtual void on_member_changed(const Entry& entry, MemberState before,
                                    bool new_incarnation) = 0;
     virtual void raise_membership_alarm(const std::string& text) = 0;
@@ -73,10 +73,10 @@
     void answered(Seconds now, const Entry& from, PingId ping_id, const Gossip& gossip);
     void no_answer_reported(Seconds now, const Entry& from, PingId ping_id) {
         heard_from(now, from);
-        detector_.not_answered(ping_id);
+        detector_.on_no_answer(ping_id);
     }
     void table_requested(Seconds now, const Entry& from);
-    void table_received(Seconds now, const Entry& from, const Gossip& part, bool wants_back);
+    void table_received(Seconds now, const Entry& from, const Gossip& part, bool wants_reply);
     // A connection to the member was refused or broke.
     void unreachable(Seconds now, const Name& name);
 
@@ -122,7 +122,7 @@
     void merge_self(const Entry& gossip_entry);
     void put(Seconds now, const Entry& entry, bool gossiped = true);
     Gossip gossip_for(const Name& to) {
-        return dissemination_.entries_for(to, self_, table_, too_old(due_));
+        return dissemination_.entries_for(to, self_, table_, gossip_cutoff(due_));
     }
     // Suspicion
     void accuse(Seconds now, const Name& name, const Name& accuser);
@@ -134,19 +134,19 @@
     void discount_stall(Seconds late);
     // Tables
     void request_table();
-    void send_table(Seconds now, const Name& to, bool wants_back);
+    void send_table(Seconds now, const Name& to, bool wants_reply);
     void forget_old(Seconds now);
 
     void update_due();
     // Returns a time: the entries of members that have been gone since before it are no longer
     // gossiped.
-    Seconds too_old(Seconds now) const {
-        return now - settings_.remember * kGossipedPart;
+    Seconds gossip_cutoff(Seconds now) const {
+        return now - settings_.remember * kGossipedFraction;
     }
 
     // Fraction of the time that a gone member is remembered, during which its entry is gossiped. If
     // members gossiped the entry until they forget it, it would circulate for ever.
-    static constexpr double kGossipedPart = 0.5;
+    static constexpr double kGossipedFraction = 0.5;
 
     MembershipHost* host_;
     MembershipSettings settings_;
--- a/src/cluster/peer_connections.cpp
+++ b/src/cluster/peer_connections.cpp
@@ -96,9 +96,9 @@
       listener_(loop, [this](int fd) {
           make_room();
           auto link = std::make_unique<Link>(*this, false);
-          Link& its = *link;
-          its.id = LinkId{links_.add(std::move(link))};
-          its.adopt(fd);
+          Link& connection = *link;
+          connection.id = LinkId{links_.add(std::move(link))};
+          connection.adopt(fd);
       }) {
     maintain();
 }
@@ -139,10 +139,10 @@
     }
     make_room();
     auto link = std::make_unique<Link>(*this, true);
-    Link& its = *link;
-    its.id = LinkId{links_.add(std::move(link))};
-    its.open(*to, own_host_);
-    return its.id;
+    Link& connection = *link;
+    connection.id = LinkId{links_.add(std::move(link))};
+    connection.open(*to, own_host_);
+    return connection.id;
 }
 void PeerConnections::send_frame(Link& link, const wire::Word& message) {
     const std::string frame = frame_with(message);
@@ -161,8 +161,8 @@
     link.put(frame);
 }
 void PeerConnections::send(const Name& to, const std::string& address, const wire::Word& message) {
-    const auto it = by_name_.find(to);
-    Link* link = it == by_name_.end() ? nullptr : find(it->second);
+    const auto it = links_by_member_.find(to);
+    Link* link = it == links_by_member_.end() ? nullptr : find(it->second);
     // A broken link may go unnoticed by TCP: messages written to it would wait for ever.
     if (link && link->awaiting_since > 0 &&
         net::clock_now() > link->awaiting_since + kAnswerTimeout) {
@@ -175,7 +175,7 @@
             return;
         }
         link->name = to;
-        by_name_[to] = link->id;
+        links_by_member_[to] = link->id;
     }
     send_frame(*link, message);
 }
@@ -185,8 +185,8 @@
     }
 }
 void PeerConnections::reply(LinkId link, const wire::Word& message) {
-    if (Link* its = find(link)) {
-        send_frame(*its, message);
+    if (Link* connection = find(link)) {
+        send_frame(*connection, message);
     }
 }
 
@@ -202,15 +202,15 @@
         return true;
     }
     if (!link->name.value.empty()) {
-        const auto it = by_name_.find(link->name);
-        if (it != by_name_.end() && it->second == id) {
-            by_name_.erase(it);
+        const auto it = links_by_member_.find(link->name);
+        if (it != links_by_member_.end() && it->second == id) {
+            links_by_member_.erase(it);
         }
     }
     link->name = name;
-    Link* other = by_name_.contains(name) ? find(by_name_.at(name)) : nullptr;
+    Link* other = links_by_member_.contains(name) ? find(links_by_member_.at(name)) : nullptr;
     if (!other || other->awaiting_since > 0) {
-        by_name_[name] = id;
+        links_by_member_[name] = id;
     }
     return true;
 }
@@ -224,11 +224,11 @@
     (*found)->close();
     loop_.destroy_after_pass(std::move(*found));
     links_.remove(id.value);
-    const auto it = by_name_.find(name);
-    if (it == by_name_.end() || it->second != id) {
+    const auto it = links_by_member_.find(name);
+    if (it == links_by_member_.end() || it->second != id) {
         return;
     }
-    by_name_.erase(it);
+    links_by_member_.erase(it);
     if (failed) {
         owner_.on_unreachable(name);
     }
--- a/src/cluster/peer_connections.hpp
+++ b/src/cluster/peer_connections.hpp
@@ -79,7 +79,7 @@
     const std::uint32_t own_host_;
     net::Listener listener_;
     net::Slots<std::unique_ptr<Link>> links_;
-    std::map<Name, LinkId> by_name_;
+    std::map<Name, LinkId> links_by_member_;
     net::Timers::Id maintain_timer_ = net::Timers::kNone;
     std::uint64_t bytes_sent_ = 0;
     std::uint64_t frames_sent_ = 0;
--- a/src/cluster/planner_client.cpp
+++ b/src/cluster/planner_client.cpp
@@ -200,7 +200,7 @@
     if (message.has_turn()) {
         return handle_turn(message.turn());
     }
-    if (message.has_holds() && message.holds().cluster() == cluster_) {
+    if (message.has_holds() && message.holds().cluster() == planner_cluster_id_) {
         const wire::Holds& holds = message.holds();
         owner_.on_holder_changed(LeaseName{holds.lease()}, Name{holds.member()},
                                  FencingToken{holds.fence()}, holds.number());
@@ -231,15 +231,15 @@
 // Planners of another cluster know nothing of the leases that were granted here. The first answer
 // determines which cluster is the right one.
 bool PlannerClient::is_from_known_cluster(const wire::LeaseAnswer& answer) {
-    if (cluster_ == 0) {
-        cluster_ = answer.cluster();
+    if (planner_cluster_id_ == 0) {
+        planner_cluster_id_ = answer.cluster();
     }
-    if (answer.cluster() == cluster_) {
+    if (answer.cluster() == planner_cluster_id_) {
         return true;
     }
     if (!std::exchange(logged_foreign_cluster_, true)) {
         log_.alarm("planner of another cluster answered: cluster={:016x} expected={:016x}",
-                   answer.cluster(), cluster_);
+                   answer.cluster(), planner_cluster_id_);
     }
     return false;
 }
--- a/src/cluster/planner_client.hpp
+++ b/src/cluster/planner_client.hpp
@@ -126,8 +126,8 @@
     const lease::Member self_;
     PeerConnections peer_connections_;
     lease::LeaseClient lease_client_;
-    std::size_t planner_index_ = 0;  // index of the planner in use
-    std::uint64_t cluster_ = 0;      // cluster id of the planners; 0 until the first answer
+    std::size_t planner_index_ = 0;         // index of the planner in use
+    std::uint64_t planner_cluster_id_ = 0;  // cluster id of the planners; 0 until the first answer
     bool logged_foreign_cluster_ = false;
     std::map<std::uint64_t, Operation> operations_;  // by the id of the request
     std::uint64_t last_operation_ = 0;
--- a/src/cluster/replication_agent.cpp
+++ b/src/cluster/replication_agent.cpp
@@ -68,8 +68,8 @@
     }
 }
 
-void ReplicationAgent::begin(net::ObservedSidecar& observed) {
-    observed_ = &observed;
+void ReplicationAgent::begin(net::ObservedSidecar& sidecar) {
+    sidecar_ = &sidecar;
     request_table({});
     effect_log_.read(lasting_now(), key_of_seals(self_));
     scrub();
@@ -103,24 +103,24 @@
     });
 }
 
-void ReplicationAgent::store(replication::WriteNumber no, replication::ShardId shard_id,
+void ReplicationAgent::store(replication::WriteNumber write_number, replication::ShardId shard_id,
                              const replication::Record& record) {
-    replica_store_.put(no, shard_id, record, lasting_now());
+    replica_store_.put(write_number, shard_id, record, lasting_now());
 }
 
-void ReplicationAgent::store_removal(replication::WriteNumber no, replication::ShardId shard_id,
-                                     const std::vector<Key>& keys) {
-    replica_store_.drop(no, shard_id, keys);
+void ReplicationAgent::store_removal(replication::WriteNumber write_number,
+                                     replication::ShardId shard_id, const std::vector<Key>& keys) {
+    replica_store_.drop(write_number, shard_id, keys);
 }
 
-void ReplicationAgent::store_shard_removal(replication::WriteNumber no,
+void ReplicationAgent::store_shard_removal(replication::WriteNumber write_number,
                                            replication::ShardId shard_id) {
-    replica_store_.clear(no, shard_id);
+    replica_store_.clear(write_number, shard_id);
 }
 
-void ReplicationAgent::store_table_version(replication::WriteNumber no,
+void ReplicationAgent::store_table_version(replication::WriteNumber write_number,
                                            replication::TableVersion number) {
-    replica_store_.number(no, number);
+    replica_store_.number(write_number, number);
 }
 
 void ReplicationAgent::ready(short) {
@@ -192,7 +192,7 @@
         repair_coordinator_.apply_table(now, table);
     }
     // A coordinator that does not know the newest table would base its plans on an old one.
-    if (holds_lease_ && !repair_coordinator_.holds_lease() && number >= newest_table_) {
+    if (holds_repair_lease_ && !repair_coordinator_.holds_lease() && number >= newest_table_) {
         repair_coordinator_.lease_acquired(now, table);
         log_.line("repair lease acquired: table_version={}", number);
     }
@@ -200,10 +200,10 @@
 }
 
 void ReplicationAgent::set_repair_lease(bool held) {
-    if (holds_lease_ == held) {
+    if (holds_repair_lease_ == held) {
         return;
     }
-    holds_lease_ = held;
+    holds_repair_lease_ = held;
     if (held) {
         request_table({});
     } else {
@@ -274,10 +274,10 @@
     return message;
 }
 
-void ReplicationAgent::send_report(const Name& to, std::uint64_t no) {
+void ReplicationAgent::send_report(const Name& to, std::uint64_t request_number) {
     wire::Holding message;
     *message.mutable_report() = make_report();
-    message.mutable_report()->set_no(no);
+    message.mutable_report()->set_no(request_number);
     post(to, message);
 }
 
--- a/src/cluster/replication_agent.hpp
+++ b/src/cluster/replication_agent.hpp
@@ -49,7 +49,7 @@
     ReplicationAgent(const ReplicationAgent&) = delete;
     ReplicationAgent& operator=(const ReplicationAgent&) = delete;
     ~ReplicationAgent() override;
-    void begin(net::ObservedSidecar& observed);
+    void begin(net::ObservedSidecar& sidecar);
     void leave();
     void update_member(const Entry& entry);
     // Returns whether no notification is still to be delivered to a primary.
@@ -68,9 +68,9 @@
     void receive(const Name& from, const Incarnation& incarnation, const wire::Holding& message);
     void answer_query(LinkId link, const wire::AskHoldings& ask);
     // net::DuplicateEffectGuard
-    void before_attempt(const net::AtMostOnceRequest& what, AttemptNumber no,
+    void before_attempt(const net::AtMostOnceRequest& what, AttemptNumber attempt,
                         const EndpointId& endpoint) override;
-    void attempt_ended(RequestId request, AttemptNumber no, Outcome outcome,
+    void attempt_ended(RequestId request, AttemptNumber attempt, Outcome outcome,
                        std::string_view answer) override;
     void request_ended(RequestId request) override;
 
@@ -88,19 +88,20 @@
     void post(const Name& to, const wire::Holding& message) override;
     Seconds time() const override;
     // replication::ReplicaHost
-    void store(replication::WriteNumber no, replication::ShardId shard_id,
+    void store(replication::WriteNumber write_number, replication::ShardId shard_id,
                const replication::Record& record) override;
-    void store_removal(replication::WriteNumber no, replication::ShardId shard_id,
+    void store_removal(replication::WriteNumber write_number, replication::ShardId shard_id,
                        const std::vector<replication::Key>& keys) override;
-    void store_shard_removal(replication::WriteNumber no, replication::ShardId shard_id) override;
-    void store_table_version(replication::WriteNumber no,
+    void store_shard_removal(replication::WriteNumber write_number,
+                             replication::ShardId shard_id) override;
+    void store_table_version(replication::WriteNumber write_number,
                              replication::TableVersion number) override;
     void request_table(replication::TableVersion least) override;
     void log_alarm(const std::string& text) override {
         log_.alarm("{}", text);
     }
     // replication::EffectLogClientHost
-    void on_cleared(RequestId request, AttemptNumber no) override;
+    void on_cleared(RequestId request, AttemptNumber attempt) override;
     void on_rejected(RequestId request, Seconds retry_after) override;
     void on_deferred(RequestId request) override;
     void on_answer_found(RequestId request, const std::string& answer) override;
@@ -126,7 +127,7 @@
     }
 
     wire::HeldReport make_report();
-    void send_report(const Name& to, std::uint64_t no);
+    void send_report(const Name& to, std::uint64_t request_number);
     void replicate_epoch_index();
     void start_read(OperatorQuery& query, const replication::Key& key, const std::string& what);
     void finish_queries();
@@ -139,13 +140,13 @@
     const ReplicationSettings settings_;
     const Name self_;
     const Incarnation incarnation_;
-    net::ObservedSidecar* observed_ = nullptr;
+    net::ObservedSidecar* sidecar_ = nullptr;
     replication::ReplicaStore replica_store_;
     replication::EffectLogClient effect_log_;
     replication::RepairCoordinator repair_coordinator_;
     std::unique_ptr<replication::Replica> replica_;
     bool disk_works_ = true;
-    bool holds_lease_ = false;
+    bool holds_repair_lease_ = false;
     bool logged_older_table_ = false;
     // Since when the planners' table is older than the newest one applied; 0: it is not.
     Seconds older_table_since_ = 0;
--- a/src/cluster/replication_agent_sidecar.cpp
+++ b/src/cluster/replication_agent_sidecar.cpp
@@ -14,7 +14,7 @@
 
 using lease::lasting_now;
 
-void ReplicationAgent::before_attempt(const net::AtMostOnceRequest& what, AttemptNumber no,
+void ReplicationAgent::before_attempt(const net::AtMostOnceRequest& what, AttemptNumber attempt,
                                       const EndpointId& endpoint) {
     replication::GuardedRequest guarded;
     guarded.request = what.request;
@@ -24,14 +24,15 @@
     const Seconds now = lasting_now();
     guarded.deadline = now + (what.deadline - net::clock_now());
     const EndpointInfo* info = owner_.find_endpoint(endpoint);
-    effect_log_.before_attempt(now, guarded, no, info ? info->location : Location{},
+    effect_log_.before_attempt(now, guarded, attempt, info ? info->location : Location{},
                                info ? info->cell : Cell{});
     schedule_tick();
 }
 
-void ReplicationAgent::attempt_ended(RequestId request, AttemptNumber no, Outcome outcome,
+void ReplicationAgent::attempt_ended(RequestId request, AttemptNumber attempt, Outcome outcome,
                                      std::string_view answer) {
-    effect_log_.attempt_ended(lasting_now(), request, no, replication::attempt_outcome_of(outcome),
+    effect_log_.attempt_ended(lasting_now(), request, attempt,
+                              replication::attempt_outcome_of(outcome),
                               outcome == Outcome::succeeded ? std::string(answer) : std::string{});
     schedule_tick();
 }
@@ -43,21 +44,21 @@
 
 // The calls to the sidecar are deferred to the event loop, because the sidecar may call back
 // immediately.
-void ReplicationAgent::on_cleared(RequestId request, AttemptNumber no) {
-    loop_.timers.soon([this, request, no] { observed_->attempt_cleared(request, no); });
+void ReplicationAgent::on_cleared(RequestId request, AttemptNumber attempt) {
+    loop_.timers.soon([this, request, attempt] { sidecar_->attempt_cleared(request, attempt); });
 }
 
 void ReplicationAgent::on_rejected(RequestId request, Seconds retry_after) {
     loop_.timers.soon(
-        [this, request, retry_after] { observed_->attempt_refused(request, retry_after); });
+        [this, request, retry_after] { sidecar_->attempt_refused(request, retry_after); });
 }
 
 void ReplicationAgent::on_deferred(RequestId request) {
-    loop_.timers.soon([this, request] { observed_->attempt_deferred(request); });
+    loop_.timers.soon([this, request] { sidecar_->attempt_deferred(request); });
 }
 
 void ReplicationAgent::on_answer_found(RequestId request, const std::string& answer) {
-    loop_.timers.soon([this, request, answer] { observed_->answer_found(request, answer); });
+    loop_.timers.soon([this, request, answer] { sidecar_->answer_found(request, answer); });
 }
 
 void ReplicationAgent::on_returned(RequestId request,
@@ -67,26 +68,26 @@
     const Seconds clock = net::clock_now();
     Seconds oldest_age = 0;
     for (const replication::AttemptRecord& each : earlier) {
-        Attempt one;
-        one.endpoint.location = each.location;
-        one.endpoint.cell = each.cell;
-        one.sent = clock - (now - each.sent_at);
-        one.ended = true;
-        one.may_have_run = true;
+        Attempt converted;
+        converted.endpoint.location = each.location;
+        converted.endpoint.cell = each.cell;
+        converted.sent = clock - (now - each.sent_at);
+        converted.ended = true;
+        converted.may_have_run = true;
         oldest_age = std::max(oldest_age, now - each.sent_at);
-        attempts.push_back(std::move(one));
+        attempts.push_back(std::move(converted));
     }
     if (!earlier.empty()) {
         log_.line("request routed again: earlier_attempts={} oldest_age_s={:.1f}", earlier.size(),
                   oldest_age);
     }
     loop_.timers.soon([this, request, attempts = std::move(attempts)] {
-        observed_->request_returned(request, attempts);
+        sidecar_->request_returned(request, attempts);
     });
 }
 
 void ReplicationAgent::on_effect_unknown(RequestId request) {
-    loop_.timers.soon([this, request] { observed_->effect_unknown(request); });
+    loop_.timers.soon([this, request] { sidecar_->effect_unknown(request); });
 }
 
 }  // namespace tideline::cluster
--- a/src/cluster/state_names.hpp
+++ b/src/cluster/state_names.hpp
@@ -14,7 +14,7 @@
             return "behind";
         case audit::VersionStatus::straggler:
             return "straggler";
-        case audit::VersionStatus::shut_out:
+        case audit::VersionStatus::excluded:
             return "shut out";
         case audit::VersionStatus::unheard:
             break;
--- a/src/swim/dissemination.cpp
+++ b/src/swim/dissemination.cpp
@@ -15,12 +15,12 @@
 // Recent changes per message.
 constexpr std::size_t kMaxChanges = 6;
 // Entries per message that are sent in rotation. They repeat what lost messages carried.
-constexpr std::size_t kMaxInTurn = 4;
+constexpr std::size_t kMaxInRotation = 4;
 
 }  // namespace
 
 std::vector<Entry> Dissemination::entries_for(const Name& receiver, const Entry& self,
-                                              const MemberTable& table, Seconds too_old) {
+                                              const MemberTable& table, Seconds gossip_cutoff) {
     std::vector<Entry> entries;
     std::set<Name> included;
     // A suspected member learns of the suspicion from the first message to it, so that it can
@@ -35,19 +35,19 @@
     for (const Name& name : changes_.take(kMaxChanges, transmissions, included)) {
         entries.push_back(name == self.name ? self : *table.find(name));
     }
-    add_in_turn(entries, included, table, too_old);
+    add_in_rotation(entries, included, table, gossip_cutoff);
     return entries;
 }
 
 // A member that missed a change would otherwise never learn of it. All entries are therefore sent
 // in rotation, a few per message. Entries that will soon be forgotten are left out, because they
 // would circulate for ever.
-void Dissemination::add_in_turn(std::vector<Entry>& entries, std::set<Name>& included,
-                                const MemberTable& table, Seconds too_old) {
-    for (std::size_t i = 0; i < kMaxInTurn && !table.entries().empty(); ++i) {
-        const Entry& entry = table.entry_after(last_in_turn_);
-        last_in_turn_ = entry.name;
-        if (!table.gone_before(entry.name, too_old) && included.insert(entry.name).second) {
+void Dissemination::add_in_rotation(std::vector<Entry>& entries, std::set<Name>& included,
+                                    const MemberTable& table, Seconds gossip_cutoff) {
+    for (std::size_t i = 0; i < kMaxInRotation && !table.entries().empty(); ++i) {
+        const Entry& entry = table.entry_after(last_in_rotation_);
+        last_in_rotation_ = entry.name;
+        if (!table.gone_before(entry.name, gossip_cutoff) && included.insert(entry.name).second) {
             entries.push_back(entry);
         }
     }
--- a/src/swim/dissemination.hpp
+++ b/src/swim/dissemination.hpp
@@ -20,17 +20,17 @@
     void remove(const cluster::Name& name) {
         changes_.remove(name);
     }
-    // Entries of members that have been gone since before `too_old` are not sent in rotation.
+    // Entries of members that have been gone since before `gossip_cutoff` are not sent in rotation.
     std::vector<cluster::Entry> entries_for(const cluster::Name& receiver,
                                             const cluster::Entry& self, const MemberTable& table,
-                                            Seconds too_old);
+                                            Seconds gossip_cutoff);
 
   private:
-    void add_in_turn(std::vector<cluster::Entry>& entries, std::set<cluster::Name>& included,
-                     const MemberTable& table, Seconds too_old);
+    void add_in_rotation(std::vector<cluster::Entry>& entries, std::set<cluster::Name>& included,
+                         const MemberTable& table, Seconds gossip_cutoff);
 
     GossipQueue changes_;
-    cluster::Name last_in_turn_;  // the entry that was last sent in rotation
+    cluster::Name last_in_rotation_;  // the entry that was last sent in rotation
 };
 
 }  // namespace tideline::swim
--- a/src/swim/failure_detector.cpp
+++ b/src/swim/failure_detector.cpp
@@ -69,19 +69,19 @@
     return probe.target;
 }
 
-void FailureDetector::answered(const PingId& id) {
+void FailureDetector::on_answer(const PingId& id) {
     if (probe_ && probe_->id == id) {
         probe_->answered = true;
     }
 }
 
-void FailureDetector::not_answered(const PingId& id) {
+void FailureDetector::on_no_answer(const PingId& id) {
     if (probe_ && probe_->id == id) {
         ++probe_->no_answers;
     }
 }
 
-bool FailureDetector::connection_failed(Seconds now, const Name& name) {
+bool FailureDetector::on_connection_failed(Seconds now, const Name& name) {
     if (!direct_deadline() || probe_->target != name) {
         return false;
     }
--- a/src/swim/failure_detector.hpp
+++ b/src/swim/failure_detector.hpp
@@ -39,11 +39,11 @@
     std::vector<cluster::Name> choose_helpers(const MemberTable& table, RandomSource& random);
     // Ends the probe. Returns its target if that did not answer.
     std::optional<cluster::Name> conclude_probe();
-    void answered(const cluster::PingId& id);
-    void not_answered(const cluster::PingId& id);
+    void on_answer(const cluster::PingId& id);
+    void on_no_answer(const cluster::PingId& id);
     // Handles a failed connection to the member. If it is the target of a direct ping, the deadline
     // of that ping is now. Returns whether it is.
-    bool connection_failed(Seconds now, const cluster::Name& name);
+    bool on_connection_failed(Seconds now, const cluster::Name& name);
     // Returns the deadline of the direct ping if its answer is outstanding.
     std::optional<Seconds> direct_deadline() const;
     const std::optional<Probe>& probe() const {
--- a/src/swim/gossip_queue.cpp
+++ b/src/swim/gossip_queue.cpp
@@ -8,16 +8,16 @@
     remove(name);
     const Change change{0, --next_order_, name};
     changes_.insert(change);
-    by_name_[name] = change;
+    changes_by_name_[name] = change;
 }
 
 void GossipQueue::remove(const Name& name) {
-    const auto it = by_name_.find(name);
-    if (it == by_name_.end()) {
+    const auto it = changes_by_name_.find(name);
+    if (it == changes_by_name_.end()) {
         return;
     }
     changes_.erase(it->second);
-    by_name_.erase(it);
+    changes_by_name_.erase(it);
 }
 
 std::vector<Name> GossipQueue::take(std::size_t max_count, int max_transmissions,
@@ -38,9 +38,9 @@
         ++change.transmissions;
         if (change.transmissions < max_transmissions) {
             changes_.insert(change);
-            by_name_[change.name] = change;
+            changes_by_name_[change.name] = change;
         } else {
-            by_name_.erase(change.name);
+            changes_by_name_.erase(change.name);
         }
     }
     return names;
--- a/src/swim/gossip_queue.hpp
+++ b/src/swim/gossip_queue.hpp
@@ -31,7 +31,7 @@
         auto operator<=>(const Change&) const = default;
     };
     std::set<Change> changes_;
-    std::map<cluster::Name, Change> by_name_;
+    std::map<cluster::Name, Change> changes_by_name_;
     std::uint64_t next_order_ = ~0ULL;  // counts down
 };
 
--- a/src/swim/ping_order.cpp
+++ b/src/swim/ping_order.cpp
@@ -27,14 +27,14 @@
     }
 }
 
-std::optional<Name> PingOrder::next(RandomSource& random, const Accepts& pinged) {
+std::optional<Name> PingOrder::next(RandomSource& random, const Accepts& should_ping) {
     for (std::size_t tries = names_.size(); tries > 0; --tries) {
         if (position_ >= names_.size()) {
             position_ = 0;
             shuffle(random);
         }
         const Name name = names_[position_];
-        if (pinged(name)) {
+        if (should_ping(name)) {
             ++position_;
             return name;
         }
--- a/src/swim/ping_order.hpp
+++ b/src/swim/ping_order.hpp
@@ -15,9 +15,9 @@
     using Accepts = std::function<bool(const cluster::Name&)>;
     // Inserts the member at a random position; does nothing if it is in the order already.
     void insert(const cluster::Name& name, RandomSource& random);
-    // Returns the next member of the round. Members for which `pinged` is false are removed from
-    // the order.
-    std::optional<cluster::Name> next(RandomSource& random, const Accepts& pinged);
+    // Returns the next member of the round. Members for which `should_ping` is false are removed
+    // from the order.
+    std::optional<cluster::Name> next(RandomSource& random, const Accepts& should_ping);
     // Returns up to `max_count` different members that `accepts`, drawn at random. The number of
     // draws is limited, so it may return fewer.
     std::vector<cluster::Name> draw(std::size_t max_count, RandomSource& random,
--- a/src/swim/suspicions.cpp
+++ b/src/swim/suspicions.cpp
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-void Suspicions::start(Seconds now, const Name& suspect, const Name& accuser) {
+void Suspicions::start_suspicion(Seconds now, const Name& suspect, const Name& accuser) {
     suspicions_[suspect] = {now, {accuser}};
 }
 
--- a/src/swim/suspicions.hpp
+++ b/src/swim/suspicions.hpp
@@ -12,7 +12,7 @@
 
 class Suspicions {
   public:
-    void start(Seconds now, const cluster::Name& suspect, const cluster::Name& accuser);
+    void start_suspicion(Seconds now, const cluster::Name& suspect, const cluster::Name& accuser);
     // Returns whether the accuser is a new one that counts.
     bool add_accuser(const cluster::Name& suspect, const cluster::Name& accuser);
     void remove(const cluster::Name& suspect) {
--- a/src/swim/table_exchange.cpp
+++ b/src/swim/table_exchange.cpp
@@ -22,7 +22,7 @@
 
 TableExchange::Parts TableExchange::parts_for(Seconds now, const Name& receiver, Seconds interval,
                                               const Entry& self, const MemberTable& table,
-                                              Seconds too_old) {
+                                              Seconds gossip_cutoff) {
     Seconds& last = last_sent_.try_emplace(receiver, kNever).first->second;
     if (now < last + interval) {
         return {};
@@ -31,7 +31,7 @@
     Parts parts(1);
     parts.back().push_back(self);
     for (const auto& [name, entry] : table.entries()) {
-        if (table.gone_before(name, too_old)) {
+        if (table.gone_before(name, gossip_cutoff)) {
             continue;
         }
         parts.back().push_back(entry);
--- a/src/swim/table_exchange.hpp
+++ b/src/swim/table_exchange.hpp
@@ -15,9 +15,9 @@
     using Parts = std::vector<std::vector<cluster::Entry>>;  // one part per message
 
     // Returns the table for `receiver`, without the members that have been gone since before
-    // `too_old`. Returns nothing if a table was sent there less than `interval` seconds ago.
+    // `gossip_cutoff`. Returns nothing if a table was sent there less than `interval` seconds ago.
     Parts parts_for(Seconds now, const cluster::Name& receiver, Seconds interval,
-                    const cluster::Entry& self, const MemberTable& table, Seconds too_old);
+                    const cluster::Entry& self, const MemberTable& table, Seconds gossip_cutoff);
     void forget(const cluster::Name& name) {
         last_sent_.erase(name);
     }
