--- a/src/cluster/member_query.cpp
+++ b/src/cluster/member_query.cpp
@@ -41,7 +41,7 @@
         wire::Word message;
         if (read == FrameRead::bad || !read_word(body, message) || !handle(message)) {
             if (error.empty()) {
-                error = "an answer to something else";
+                error = "unexpected or malformed answer";
             }
             finished = true;
             return;
--- a/src/cluster/member_store.cpp
+++ b/src/cluster/member_store.cpp
@@ -51,7 +51,8 @@
                 Incarnation{std::max(incarnation_.value, stored["life"].get<std::uint64_t>() + 1)};
             read_epochs(name);
         } else {
-            damage_ = path + " can't be read: begun anew, as after the loss of a disk";
+            damage_ =
+                path + " can't be read: starting with a new disk id, as after the loss of a disk";
         }
     }
     // A truncated file could not be read, so a new file is written beside the old one and renamed
