--- a/src/cluster/cluster_config.cpp
+++ b/src/cluster/cluster_config.cpp
@@ -10,7 +10,7 @@
 namespace tideline::cluster {
 namespace {
 
-constexpr std::size_t kNameMost = 100;  // bytes: names are sent in every message
+constexpr std::size_t kMaxNameBytes = 100;  // names are sent in every message
 
 void read_membership(Reader& read, const Setting& from, ClusterConfig& cluster_config) {
     MembershipSettings& membership = cluster_config.membership;
@@ -75,7 +75,7 @@
          {"repair_rate", read.number(replication.replica.repair_rate, 1e3, 1e9, " bytes a second")},
          {"compare", read.number(replication.replica.comparison_interval, 0.2, 86400, " s")},
          {"scrub", read.number(replication.scrub_interval, 1, 30 * 86400.0, " s")},
-         {"grouped", read.yes_or_no(replication.group_commit)}});
+         {"grouped", read.boolean(replication.group_commit)}});
     if (replication.repair_coordinator.min_replicas == 0) {
         replication.repair_coordinator.min_replicas = replication.repair_coordinator.replicas;
     }
@@ -125,9 +125,9 @@
         read.fault(from, "planners is missing; with copies it is needed: { addresses = [ ... ]; }");
     }
     const auto check_length = [&](const char* field, const std::string& name) {
-        if (name.size() > kNameMost) {
+        if (name.size() > kMaxNameBytes) {
             read.fault(from, fmt::format("{}: a name of {} bytes; allowed: up to {} bytes", field,
-                                         name.size(), kNameMost));
+                                         name.size(), kMaxNameBytes));
         }
     };
     check_length("member", cluster_config.name.value);
--- a/src/cluster/cluster_member.cpp
+++ b/src/cluster/cluster_member.cpp
@@ -11,12 +11,13 @@
 using audit::ContentVersion;
 using audit::VersionPart;
 
-constexpr Seconds kReviewPart = 0.1;  // of the audit's grace: from one review to the next
-constexpr Seconds kReviewMost = 1;    // s, from one review to the next
+constexpr Seconds kReviewIntervalInGraces =
+    0.1;  // interval between two reviews, as a fraction of the audit's grace
+constexpr Seconds kMaxReviewInterval = 1;  // s
 
-// The id of a new data folder. Not drawn from the configured seed: a machine that lost its disk
-// and starts with the same seed would draw the same id and be taken for the one that still holds
-// what was lost.
+// Returns an id for a new data folder. It is not drawn from the configured seed: a machine that
+// lost its disk and starts with the same seed would draw the same id, and would be taken for the
+// machine that still holds the lost data.
 std::uint64_t new_disk_id() {
     std::random_device device;
     return (static_cast<std::uint64_t>(device()) << 32 | device()) | 1;
@@ -80,9 +81,9 @@
     if (!cluster_config.replication.enabled) {
         return;
     }
-    ReplicationAgent::Owner& holder = *this;
+    ReplicationAgent::Owner& replication_owner = *this;
     replication_agent_ = std::make_unique<ReplicationAgent>(
-        loop, log, holder, cluster_config, member_store_.incarnation(), new_disk_id());
+        loop, log, replication_owner, cluster_config, member_store_.incarnation(), new_disk_id());
     receiver_.set_replication(replication_agent_.get());
 }
 
@@ -91,8 +92,8 @@
     loop_.timers.cancel(review_timer_);
 }
 
-void ClusterMember::begin(net::ObservedSidecar& observed) {
-    observed_ = &observed;
+void ClusterMember::begin(net::ObservedSidecar& sidecar) {
+    sidecar_ = &sidecar;
     began_ = true;
     publish_state();
     schedule_membership_tick();
@@ -101,7 +102,7 @@
         leased_tasks_->begin();
     }
     if (replication_agent_) {
-        replication_agent_->begin(observed);
+        replication_agent_->begin(sidecar);
     }
     log_.line("cluster member started: name={} address={} incarnation={} folder={} seeds={}",
               cluster_config_.name.value, cluster_config_.address,
@@ -109,14 +110,14 @@
               cluster_config_.seeds.size());
 }
 
-void ClusterMember::apply_config(const ClusterConfig& fresh) {
-    membership_.set_settings(fresh.membership, fresh.seeds);
-    version_audit_.set_settings(fresh.version_audit);
-    peer_connections_.set_bounds({fresh.max_connections, fresh.max_frame_bytes});
-    cluster_config_ = fresh;
+void ClusterMember::apply_config(const ClusterConfig& new_config) {
+    membership_.set_settings(new_config.membership, new_config.seeds);
+    version_audit_.set_settings(new_config.version_audit);
+    peer_connections_.set_bounds({new_config.max_connections, new_config.max_frame_bytes});
+    cluster_config_ = new_config;
     publish_state();
     log_.line("cluster configuration reloaded: restart_needed={}",
-              needs_restart(started_config_, fresh) ? "yes" : "no");
+              needs_restart(started_config_, new_config) ? "yes" : "no");
 }
 
 void ClusterMember::leave() {
@@ -126,36 +127,36 @@
     if (leased_tasks_) {
         leased_tasks_->leave();
     }
-    audit_log_.seal(net::clock_now());
+    audit_log_.seal_epoch(net::clock_now());
     membership_.leave(net::clock_now());
 }
 
-// --- What this sidecar acts on
+// --- State that this sidecar acts on
 bool ClusterMember::takes_revision(std::int64_t revision) {
     return transfers_.accepts(VersionPart::list,
                               static_cast<std::uint64_t>(std::max<std::int64_t>(0, revision)));
 }
 
 void ClusterMember::endpoint_list_applied(std::int64_t revision, EndpointListKind kind,
-                                          const std::vector<EndpointInfo>& lines,
+                                          const std::vector<EndpointInfo>& endpoints,
                                           const std::vector<net::Address>& addresses) {
     if (kind != EndpointListKind::changes) {
         clear_endpoints();
     }
     std::uint64_t drains = 0;
-    for (std::size_t i = 0; i < lines.size(); ++i) {
-        const bool drains_now = state_.update_endpoint(lines[i], addresses[i]);
+    for (std::size_t i = 0; i < endpoints.size(); ++i) {
+        const bool drains_now = state_.update_endpoint(endpoints[i], addresses[i]);
         drains += drains_now ? 1 : 0;
         if (leased_tasks_) {
-            const bool ready = lines[i].state == EndpointState::ready;
-            leased_tasks_->endpoint_updated(lines[i].id, ready, lines[i].started);
+            const bool ready = endpoints[i].state == EndpointState::ready;
+            leased_tasks_->endpoint_updated(endpoints[i].id, ready, endpoints[i].started);
         }
     }
     if (leased_tasks_) {
         leased_tasks_->ready_endpoints(state_.ready_endpoints());
     }
     if (kind == EndpointListKind::changes) {
-        audit_log_.drained(drains);
+        audit_log_.add_drains(drains);
     }
     state_.set_list_revision(revision);
     version_audit_.set_own_version(net::clock_now(), VersionPart::list,
@@ -188,14 +189,14 @@
     if (leased_tasks_) {
         leased_tasks_->attempted();
     }
-    audit_log_.attempted(state_.on_trial_build(endpoint));
+    audit_log_.add_attempt(state_.runs_trial_build(endpoint));
 }
 
 void ClusterMember::publish_state() {
     if (!began_) {
         return;
     }
-    audit::Acting acting;
+    audit::ActingState acting;
     acting.version = {ListRevision{state_.version(VersionPart::list).rank},
                       ReleaseRank{state_.version(VersionPart::release).rank}};
     acting.build = state_.release().build;
@@ -205,15 +206,16 @@
     acting.trial_participation = trial_participation_;
     acting.config_digest = sidecar_config_digest_ + cluster_config_.digest;
     acting.program = TIDELINE_VERSION;
-    audit_log_.set_acting(net::clock_now(), acting);
+    audit_log_.set_acting_state(net::clock_now(), acting);
     membership_.acts_on(net::clock_now(), acting.version);
 }
 
 void ClusterMember::on_epoch_sealed(const audit::Epoch& epoch) {
-    if (!member_store_.keep(epoch) && !std::exchange(member_store_full_, true)) {
+    if (!member_store_.keep(epoch) && !std::exchange(epoch_store_failed_, true)) {
         log_.alarm("audit epochs not written: folder={}", cluster_config_.folder);
     }
-    // Not at once: the audit log is in the middle of its seal, and each message shows the newest.
+    // Deferred, because the audit log is still sealing this epoch and every message carries the
+    // newest seal.
     if (replication_agent_) {
         loop_.timers.soon([this, epoch] { replication_agent_->replicate_epoch(epoch); });
     }
@@ -244,8 +246,8 @@
 }
 
 void ClusterMember::request_versions(const Name& of) {
-    // The answer to a ping carries the versions that its sender acts on. No ping of the membership
-    // has this id.
+    // The answer to a ping carries the versions that its sender acts on. The membership itself
+    // never uses this ping id.
     messenger_.ping(of, PingId{0}, {});
 }
 
@@ -254,9 +256,10 @@
     log_.line("state transfer requested: part={} from={}", name_of(part), from.value);
 }
 
-void ClusterMember::gossip_exclusion(const Name& name, const Incarnation& incarnation, bool out) {
-    log_.line("member exclusion ruled: name={} excluded={}", name.value, out ? "yes" : "no");
-    membership_.rule(net::clock_now(), name, incarnation, out);
+void ClusterMember::gossip_exclusion(const Name& name, const Incarnation& incarnation,
+                                     bool excluded) {
+    log_.line("member exclusion ruled: name={} excluded={}", name.value, excluded ? "yes" : "no");
+    membership_.rule(net::clock_now(), name, incarnation, excluded);
 }
 
 void ClusterMember::trial_participation(TrialParticipation trial_participation) {
@@ -267,10 +270,10 @@
         log_.line("trial participation changed: value='{}'", cluster::name_of(trial_participation));
     }
     trial_participation_ = trial_participation;
-    // The cores are not called back from within their own calls.
+    // Deferred, because the cores must not be called back from within their own calls.
     loop_.timers.soon([this] {
-        if (observed_) {
-            observed_->set_trial_participation(trial_participation_);
+        if (sidecar_) {
+            sidecar_->set_trial_participation(trial_participation_);
         }
         publish_state();
     });
@@ -278,28 +281,29 @@
 
 // --- State transfer
 void ClusterMember::apply_version(VersionPart part, const ContentVersion& version) {
-    // The sidecar calls back into the version audit, which is in the middle of a call now.
+    // Deferred, because the sidecar calls back into the version audit, which is still executing a
+    // call.
     loop_.timers.soon([this, part, version] { adopt_transfer(part, version); });
 }
 
 void ClusterMember::adopt_transfer(VersionPart part, const ContentVersion& version) {
-    if (!observed_) {
+    if (!sidecar_) {
         return;
     }
     const auto transfer = transfers_.take(part, version);
     if (!transfer || state_.version(part).rank > version.rank) {
-        return;  // replaced by a later transfer, or this member's own source was quicker
+        return;  // replaced by a later transfer, or this member's own source was faster
     }
     transfers_.set_adopted(part, version.rank);
     log_.line("state transfer adopted: part={} rank={}", name_of(part), version.rank);
     if (part == VersionPart::release) {
         const ReleaseStatus release = release_from(transfer->news());
-        return observed_->apply_stage(release.build, release.stage, release.phase, release.cap,
-                                      std::max(0.0, net::clock_now() - release.since));
+        return sidecar_->apply_stage(release.build, release.stage, release.phase, release.cap,
+                                     std::max(0.0, net::clock_now() - release.since));
     }
     const TransferredList list = list_from(*transfer, state_.endpoints());
-    observed_->apply_endpoint_list(static_cast<std::int64_t>(version.rank), list.endpoints,
-                                   list.addresses);
+    sidecar_->apply_endpoint_list(static_cast<std::int64_t>(version.rank), list.endpoints,
+                                  list.addresses);
 }
 
 // --- PeerConnections::Owner
@@ -326,9 +330,10 @@
 
 void ClusterMember::review_versions() {
     version_audit_.tick(net::clock_now());
-    queries_.expire();
+    queries_.expire_requests();
     review_timer_ = loop_.timers.at(
-        net::clock_now() + std::min(kReviewMost, kReviewPart * cluster_config_.version_audit.grace),
+        net::clock_now() + std::min(kMaxReviewInterval,
+                                    kReviewIntervalInGraces * cluster_config_.version_audit.grace),
         [this] { review_versions(); });
 }
 
@@ -343,10 +348,11 @@
     return names;
 }
 
-void ClusterMember::set_slow_start_limit(const EndpointId& endpoint, double most, Seconds valid) {
-    loop_.timers.soon([this, endpoint, most, valid] {
-        if (observed_) {
-            observed_->set_slow_start_limit(endpoint, most, valid);
+void ClusterMember::set_slow_start_limit(const EndpointId& endpoint, double max_attempts,
+                                         Seconds valid) {
+    loop_.timers.soon([this, endpoint, max_attempts, valid] {
+        if (sidecar_) {
+            sidecar_->set_slow_start_limit(endpoint, max_attempts, valid);
         }
     });
 }
--- a/src/cluster/cluster_member.hpp
+++ b/src/cluster/cluster_member.hpp
@@ -1,5 +1,6 @@
-// This sidecar as a member of the cluster: joins the cores (membership, version audit, audit log)
-// to the connections, to the sidecar, and to leased tasks and replication. Decides nothing itself.
+// This sidecar as a member of the cluster. Connects the protocol cores (membership, version audit,
+// audit log) to the network connections, to the sidecar, and to leased tasks and replication. Makes
+// no decisions itself.
 #pragma once
 
 #include <memory>
@@ -32,58 +33,62 @@
                       LeasedTasks::Owner,
                       ReplicationAgent::Owner {
   public:
-    // `sidecar_config_digest`: of the sidecar's own configuration. Throws
-    // std::runtime_error, with one line for the operator.
+    // `sidecar_config_digest` is the digest of the sidecar's own configuration. Throws
+    // std::runtime_error with a one-line message for the operator.
     ClusterMember(net::EventLoop& loop, net::Log& log, const ClusterConfig& cluster_config,
                   const std::string& sidecar_config_digest,
                   const slow_start::SlowStartSettings& slow_start_settings, std::uint64_t seed);
     ClusterMember(const ClusterMember&) = delete;
     ClusterMember& operator=(const ClusterMember&) = delete;
     ~ClusterMember() override;
-    void begin(net::ObservedSidecar& observed);
+    void begin(net::ObservedSidecar& sidecar);
+    // Returns nullptr without replication.
     net::DuplicateEffectGuard* effect_guard() {
         return replication_agent_.get();
-    }  // none without replication
+    }
+    // Returns whether other members know the outcome of every attempt that this sidecar sent.
     bool settled() const {
         return !replication_agent_ || replication_agent_->is_settled();
-    }                                               // other members know the outcome of all it sent
-    void apply_config(const ClusterConfig& fresh);  // after SIGHUP: what can change at run time
-    void leave();                                   // after SIGTERM: the others are notified
+    }
+    // Applies the settings that can change at run time. To be called after SIGHUP.
+    void apply_config(const ClusterConfig& new_config);
+    // Notifies the other members that this one leaves. To be called after SIGTERM.
+    void leave();
     // net::FleetObserver
     bool takes_revision(std::int64_t revision) override;
     void endpoint_list_applied(std::int64_t revision, EndpointListKind kind,
-                               const std::vector<EndpointInfo>& lines,
+                               const std::vector<EndpointInfo>& endpoints,
                                const std::vector<net::Address>& addresses) override;
     bool release_status_received(Build build, Stage stage, Phase phase, double cap,
                                  Seconds age) override;
     void attempted(const EndpointId& endpoint) override;
     void voted(Vote vote) override {
-        audit_log_.voted(vote);
+        audit_log_.add_vote(vote);
     }
     void build_condemned() override {
-        audit_log_.build_condemned();
+        audit_log_.add_condemned_build();
     }
 
   private:
     // MembershipHost
-    void ping(const Name& to, PingId no, const Gossip& gossip) override {
-        messenger_.ping(to, no, gossip);
+    void ping(const Name& to, PingId ping_id, const Gossip& gossip) override {
+        messenger_.ping(to, ping_id, gossip);
     }
-    void request_indirect_ping(const Name& helper, PingId no, const Name& target,
+    void request_indirect_ping(const Name& helper, PingId ping_id, const Name& target,
                                const Gossip& gossip) override {
-        messenger_.request_indirect_ping(helper, no, target, gossip);
+        messenger_.request_indirect_ping(helper, ping_id, target, gossip);
     }
-    void acknowledge(const Name& to, PingId no, const Gossip& gossip) override {
-        messenger_.acknowledge(to, no, gossip);
+    void acknowledge(const Name& to, PingId ping_id, const Gossip& gossip) override {
+        messenger_.acknowledge(to, ping_id, gossip);
     }
-    void report_no_answer(const Name& to, PingId no) override {
-        messenger_.report_no_answer(to, no);
+    void report_no_answer(const Name& to, PingId ping_id) override {
+        messenger_.report_no_answer(to, ping_id);
     }
     void request_table(const std::string& address) override {
         messenger_.request_member_table(address);
     }
-    void send_table(const Name& to, const Gossip& part, bool wants_back) override {
-        messenger_.send_member_table(to, part, wants_back);
+    void send_table(const Name& to, const Gossip& part, bool wants_reply) override {
+        messenger_.send_member_table(to, part, wants_reply);
     }
     void on_member_changed(const Entry& entry, MemberState before, bool new_incarnation) override;
     void raise_membership_alarm(const std::string& text) override {
@@ -91,16 +96,16 @@
     }
     // audit::VersionAuditHost
     void request_versions(const Name& of) override;
-    void request_transfer(const Name& from, audit::VersionPart subject) override;
+    void request_transfer(const Name& from, audit::VersionPart part) override;
     void request_confirmation(const Name& of, audit::VersionPart part,
                               const audit::ContentVersion& version) override {
         messenger_.request_confirmation(of, part, version);
     }
-    void apply_version(audit::VersionPart subject, const audit::ContentVersion& mark) override;
+    void apply_version(audit::VersionPart part, const audit::ContentVersion& version) override;
     void notify_excluded(const Name& name) override {
-        messenger_.refuse(name);
+        messenger_.send_refusal(name);
     }
-    void gossip_exclusion(const Name& name, const Incarnation& incarnation, bool out) override;
+    void gossip_exclusion(const Name& name, const Incarnation& incarnation, bool excluded) override;
     void trial_participation(TrialParticipation trial_participation) override;
     void raise_audit_alarm(const std::string& text) override {
         log_.alarm("audit: {}", text);
@@ -109,13 +114,14 @@
     void on_epoch_sealed(const audit::Epoch& epoch) override;
     // LeasedTasks::Owner
     void request_audit() override {
-        queries_.start_own_query();
+        queries_.start_fleet_audit();
     }
     std::vector<Name> present_members() const override;
     void send_slow_start_limits(const Name& to, const wire::Paces& limits) override {
         messenger_.send_slow_start_limits(to, limits);
     }
-    void set_slow_start_limit(const EndpointId& endpoint, double most, Seconds valid) override;
+    void set_slow_start_limit(const EndpointId& endpoint, double max_attempts,
+                              Seconds valid) override;
     void on_repair_lease(bool held) override {
         if (replication_agent_) {
             replication_agent_->set_repair_lease(held);
@@ -167,18 +173,20 @@
     }
 
     void clear_endpoints();
-    // After each change of what this member acts on: to the audit log and the membership.
+    // Passes the state that this member acts on to the audit log and the membership. To be called
+    // after each change.
     void publish_state();
     void adopt_transfer(audit::VersionPart part, const audit::ContentVersion& version);
     void schedule_membership_tick();
-    void review_versions();  // and again after a part of the grace
+    // Runs the version audit, and again after a fraction of its grace.
+    void review_versions();
 
     net::EventLoop& loop_;
     net::Log& log_;
     const ClusterConfig started_config_;
-    // Of the last reload.
+    // As last reloaded.
     ClusterConfig cluster_config_;
-    net::ObservedSidecar* observed_ = nullptr;
+    net::ObservedSidecar* sidecar_ = nullptr;
     const std::string sidecar_config_digest_;
     MemberStore member_store_;
     audit::SealedHeads heads_;
@@ -192,11 +200,11 @@
     MemberMessenger messenger_;
     AuditQueries queries_;
     MessageReceiver receiver_;
-    std::unique_ptr<LeasedTasks> leased_tasks_;            // none without planners
-    std::unique_ptr<ReplicationAgent> replication_agent_;  // none without replication
+    std::unique_ptr<LeasedTasks> leased_tasks_;            // null without planners
+    std::unique_ptr<ReplicationAgent> replication_agent_;  // null without replication
     net::Timers::Id membership_timer_ = net::Timers::kNone;
     net::Timers::Id review_timer_ = net::Timers::kNone;
-    bool member_store_full_ = false;
+    bool epoch_store_failed_ = false;
     bool began_ = false;
 };
 
--- a/src/cluster/replication_agent.cpp
+++ b/src/cluster/replication_agent.cpp
@@ -13,12 +13,12 @@
 using lease::lasting_now;
 using replication::Key;
 
-constexpr std::uint64_t kCoordinatorReportNumber =
-    ~0ULL;                          // the number of a report that the repair coordinator asked for
-constexpr Seconds kLeaveGrace = 3;  // s: one that leaves has answered all by then
-constexpr Seconds kOlderTableMost = 30;  // s: planners that lag know the newest table by then
+// Request number of the reports that the repair coordinator asks for.
+constexpr std::uint64_t kCoordinatorReportNumber = ~0ULL;
+constexpr Seconds kLeaveDelay = 3;  // s, after which a leaving member has answered all requests
+constexpr Seconds kOlderTableTimeout = 30;  // s, after which lagging planners know the newest table
 constexpr Seconds kTablePollInterval =
-    5;  // s: the table is asked for, should its news have been lost
+    5;  // s between requests for the table, in case a notification was lost
 
 replication::ReplicaStoreSettings store_settings_of(const ReplicationSettings& settings) {
     replication::ReplicaStoreSettings store_settings;
@@ -63,13 +63,13 @@
     for (auto* key : {&tick_timer_, &scrub_timer_, &poll_timer_}) {
         loop_.timers.cancel(*key);
     }
-    for (auto& [name, key] : leaving_) {
+    for (auto& [name, key] : leave_timers_) {
         loop_.timers.cancel(key);
     }
 }
 
-void ReplicationAgent::begin(net::ObservedSidecar& observed) {
-    observed_ = &observed;
+void ReplicationAgent::begin(net::ObservedSidecar& sidecar) {
+    sidecar_ = &sidecar;
     request_table({});
     effect_log_.read(lasting_now(), key_of_seals(self_));
     scrub();
@@ -103,24 +103,24 @@
     });
 }
 
-void ReplicationAgent::store(replication::WriteNumber no, replication::ShardId shard_id,
+void ReplicationAgent::store(replication::WriteNumber write_number, replication::ShardId shard_id,
                              const replication::Record& record) {
-    replica_store_.put(no, shard_id, record, lasting_now());
+    replica_store_.put(write_number, shard_id, record, lasting_now());
 }
 
-void ReplicationAgent::store_removal(replication::WriteNumber no, replication::ShardId shard_id,
-                                     const std::vector<Key>& keys) {
-    replica_store_.drop(no, shard_id, keys);
+void ReplicationAgent::store_removal(replication::WriteNumber write_number,
+                                     replication::ShardId shard_id, const std::vector<Key>& keys) {
+    replica_store_.drop(write_number, shard_id, keys);
 }
 
-void ReplicationAgent::store_shard_removal(replication::WriteNumber no,
+void ReplicationAgent::store_shard_removal(replication::WriteNumber write_number,
                                            replication::ShardId shard_id) {
-    replica_store_.clear(no, shard_id);
+    replica_store_.clear(write_number, shard_id);
 }
 
-void ReplicationAgent::store_table_version(replication::WriteNumber no,
+void ReplicationAgent::store_table_version(replication::WriteNumber write_number,
                                            replication::TableVersion number) {
-    replica_store_.number(no, number);
+    replica_store_.number(write_number, number);
 }
 
 void ReplicationAgent::ready(short) {
@@ -141,13 +141,13 @@
 }
 
 void ReplicationAgent::scrub() {
-    const auto slots = replica_->table().shards.size();
-    if (slots > 0 && disk_works_) {
-        replica_store_.scrub({scrubbed_shards_++ % static_cast<std::uint32_t>(slots)});
+    const auto shard_count = replica_->table().shards.size();
+    if (shard_count > 0 && disk_works_) {
+        replica_store_.scrub({scrubbed_shards_++ % static_cast<std::uint32_t>(shard_count)});
     }
-    // All shards once in the scrub interval.
+    // Each shard is scrubbed once per scrub interval.
     const Seconds every =
-        settings_.scrub_interval / static_cast<double>(std::max<std::size_t>(1, slots));
+        settings_.scrub_interval / static_cast<double>(std::max<std::size_t>(1, shard_count));
     scrub_timer_ = loop_.timers.at(net::clock_now() + every, [this] { scrub(); });
 }
 
@@ -171,13 +171,13 @@
         return log_.alarm("replica table unreadable: version={}", number);
     }
     const Seconds now = lasting_now();
-    // Planners that were set up anew count from one again. Without this alarm nothing would ever be
-    // applied, and nobody would notice.
+    // Planners that were set up anew restart the versions of the table at one. Without this alarm
+    // no table would be applied any more, and the operator would not learn of it.
     if (number >= replica_->newest_table_seen().value) {
         older_table_since_ = 0;
     } else if (older_table_since_ == 0) {
         older_table_since_ = now;
-    } else if (now > older_table_since_ + kOlderTableMost &&
+    } else if (now > older_table_since_ + kOlderTableTimeout &&
                !std::exchange(logged_older_table_, true)) {
         log_.alarm(
             "replica table too old: version={} newest_applied={} action=\"if the planners were set "
@@ -191,8 +191,8 @@
         effect_log_.apply_table(now, table);
         repair_coordinator_.apply_table(now, table);
     }
-    // A coordinator that does not know the newest table would plan on an old one.
-    if (holds_lease_ && !repair_coordinator_.holds_lease() && number >= newest_table_) {
+    // A coordinator that does not know the newest table would base its plans on an old one.
+    if (holds_repair_lease_ && !repair_coordinator_.holds_lease() && number >= newest_table_) {
         repair_coordinator_.lease_acquired(now, table);
         log_.line("repair lease acquired: table_version={}", number);
     }
@@ -200,10 +200,10 @@
 }
 
 void ReplicationAgent::set_repair_lease(bool held) {
-    if (holds_lease_ == held) {
+    if (holds_repair_lease_ == held) {
         return;
     }
-    holds_lease_ = held;
+    holds_repair_lease_ = held;
     if (held) {
         request_table({});
     } else {
@@ -239,15 +239,16 @@
     const bool gone = entry.state >= MemberState::gone;
     repair_coordinator_.update_member(lasting_now(), entry.name, entry.incarnation, entry.place,
                                       !gone);
-    net::Timers::Id& leaving = leaving_[entry.name];
+    net::Timers::Id& leaving = leave_timers_[entry.name];
     loop_.timers.cancel(leaving);
     if (entry.state != MemberState::left) {
         return effect_log_.update_member(lasting_now(), entry.name, entry.incarnation, gone);
     }
-    // One that leaves in order still answers what it took. Its attempts are no dead one's yet.
-    leaving = loop_.timers.at(net::clock_now() + kLeaveGrace,
+    // A member that leaves in order still answers the requests that it has accepted, so its
+    // attempts are not treated as those of a failed member yet.
+    leaving = loop_.timers.at(net::clock_now() + kLeaveDelay,
                               [this, name = entry.name, incarnation = entry.incarnation] {
-                                  leaving_[name] = net::Timers::kNone;
+                                  leave_timers_[name] = net::Timers::kNone;
                                   effect_log_.update_member(lasting_now(), name, incarnation, true);
                               });
 }
@@ -256,11 +257,11 @@
     if (to != self_) {
         return owner_.send_replication_message(to, message);
     }
-    // The cores are not called back from within their own calls.
+    // Deferred, because the cores must not be called back from within their own calls.
     loop_.timers.soon([this, message] { receive(self_, incarnation_, message); });
 }
 
-wire::HeldReport ReplicationAgent::report() {
+wire::HeldReport ReplicationAgent::make_report() {
     replication::ReplicaReport report = replica_->report(lasting_now());
     report.disk_works = disk_works_;
     wire::HeldReport message;
@@ -273,10 +274,10 @@
     return message;
 }
 
-void ReplicationAgent::report_to(const Name& to, std::uint64_t no) {
+void ReplicationAgent::send_report(const Name& to, std::uint64_t request_number) {
     wire::Holding message;
-    *message.mutable_report() = report();
-    message.mutable_report()->set_no(no);
+    *message.mutable_report() = make_report();
+    message.mutable_report()->set_no(request_number);
     post(to, message);
 }
 
@@ -284,7 +285,7 @@
                                const wire::Holding& message) {
     const Seconds now = lasting_now();
     if (message.has_ask_report()) {
-        report_to(from, message.ask_report().no());
+        send_report(from, message.ask_report().no());
     } else if (message.has_report() && message.report().no() == kCoordinatorReportNumber) {
         std::set<Name> silent;
         const replication::ReplicaReport report =
--- a/src/swim/failure_detector.cpp
+++ b/src/swim/failure_detector.cpp
@@ -10,19 +10,20 @@
 using cluster::Name;
 using cluster::PingId;
 
-// Members asked to ping in this one's stead: one bad link of four is no failure.
+// Members asked to ping the target on behalf of this one, so that one bad link of four does not
+// count as a failure.
 constexpr std::size_t kHelpers = 3;
-// Steps of health: a member that is slow itself waits up to nine times as long.
-constexpr int kMostHealth = 8;
+// Highest local health score: a slow member waits up to nine times as long.
+constexpr int kMaxHealth = 8;
 
 }  // namespace
 
 void FailureDetector::degrade_health(int steps) {
-    health_ = std::clamp(health_ + steps, 0, kMostHealth);
+    health_ = std::clamp(health_ + steps, 0, kMaxHealth);
 }
 
-std::optional<Probe> FailureDetector::start(Seconds now, Seconds answer_wait,
-                                            const MemberTable& table, RandomSource& random) {
+std::optional<Probe> FailureDetector::start_probe(Seconds now, Seconds answer_wait,
+                                                  const MemberTable& table, RandomSource& random) {
     probe_.reset();
     const auto target = order_.next(random, [&](const Name& name) {
         const Entry* entry = table.find(name);
@@ -52,7 +53,7 @@
     return helpers;
 }
 
-std::optional<Name> FailureDetector::conclude() {
+std::optional<Name> FailureDetector::conclude_probe() {
     if (!probe_) {
         return std::nullopt;
     }
@@ -62,25 +63,25 @@
         degrade_health(-1);
         return std::nullopt;
     }
-    // A slow member finds all others silent. Helpers that send nothing, not even that they had no
-    // answer, are a sign of its own slowness: it waits longer from then on.
+    // To a slow member all others appear silent. Helpers that do not even report a missing answer
+    // are a sign that this member itself is slow, so it waits longer from now on.
     degrade_health(probe.helpers > 0 ? probe.helpers - probe.no_answers : 1);
     return probe.target;
 }
 
-void FailureDetector::answered(const PingId& id) {
+void FailureDetector::on_answer(const PingId& id) {
     if (probe_ && probe_->id == id) {
         probe_->answered = true;
     }
 }
 
-void FailureDetector::not_answered(const PingId& id) {
+void FailureDetector::on_no_answer(const PingId& id) {
     if (probe_ && probe_->id == id) {
         ++probe_->no_answers;
     }
 }
 
-bool FailureDetector::connection_failed(Seconds now, const Name& name) {
+bool FailureDetector::on_connection_failed(Seconds now, const Name& name) {
     if (!direct_deadline() || probe_->target != name) {
         return false;
     }
