--- a/src/cluster/member_messenger.cpp
+++ b/src/cluster/member_messenger.cpp
@@ -62,10 +62,10 @@
     connections_.send(address, message);
 }
 
-void MemberMessenger::send_member_table(const Name& to, const Gossip& part, bool wants_back) {
+void MemberMessenger::send_member_table(const Name& to, const Gossip& part, bool wants_reply) {
     wire::Word message = new_message();
     put(part, *message.mutable_table()->mutable_part());
-    message.mutable_table()->set_wants_back(wants_back);
+    message.mutable_table()->set_wants_back(wants_reply);
     send(to, message);
 }
 
@@ -100,7 +100,7 @@
     send(to, message);
 }
 
-void MemberMessenger::refuse(const Name& name) {
+void MemberMessenger::send_refusal(const Name& name) {
     wire::Word message = new_message();
     message.mutable_refusal();
     send(name, message);
@@ -126,9 +126,9 @@
     send(to, message);
 }
 
-void MemberMessenger::report_sent_of_late(const Name& to, double in_window) {
+void MemberMessenger::report_recent_attempts(const Name& to, double attempts) {
     wire::Word message = new_message();
-    message.mutable_sent_of_late()->set_in_window(in_window);
+    message.mutable_sent_of_late()->set_in_window(attempts);
     send(to, message);
 }
 
--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -7,16 +7,19 @@
 namespace tideline::cluster {
 namespace {
 
-// Steps of health for a member that stalled for longer than a period.
-constexpr int kStallSteps = 2;
-// Of the wait for an answer: a helper reports in time that none came.
-constexpr double kIndirectWait = 0.8;
-// Periods: a whole table is sent to one member no more often.
-constexpr double kTablePeriods = 1;
-// Times that another claimed this name, after which two processes are the likely cause.
-constexpr int kClaimsNoted = 3;
-// Of the time between requests for a table: the shortest; the longest is 1 more.
-constexpr double kShortestRejoin = 0.5;
+// Steps added to the local health score after a stall of more than a period.
+constexpr int kStallHealthPenalty = 2;
+// Fraction of the answer time-out that a helper waits, so that its report of a missing answer
+// arrives in time.
+constexpr double kIndirectTimeoutFactor = 0.8;
+// Complete tables are sent to the same member at this interval or a longer one.
+constexpr double kMinTableIntervalInPeriods = 1;
+// Claims of this member's name by another process, after which two processes with that name are the
+// likely cause.
+constexpr int kNameClaimsBeforeAlarm = 3;
+// Requests for a table are sent at random intervals: from this fraction of the configured interval
+// to that plus 1.
+constexpr double kMinRejoinFactor = 0.5;
 
 }  // namespace
 
@@ -31,7 +34,7 @@
       next_regain_(now),
       due_(now) {
     self_.state = MemberState::present;
-    // Members that start together would otherwise ping in step for good.
+    // Members that start together would otherwise send their pings at the same time for ever.
     next_period_ += settings_.period * random_.draw();
     dissemination_.add(self_.name);
 }
@@ -72,10 +75,10 @@
         case swim::SelfMerge::unchanged:
             return;
         case swim::SelfMerge::refuted:
-            detector_.degrade_health(1);  // whoever is accused may be slow itself
+            detector_.degrade_health(1);  // a suspicion is a sign that this member may be slow
             break;
         case swim::SelfMerge::name_claimed:
-            if (++raised_ == kClaimsNoted) {
+            if (++name_claims_ == kNameClaimsBeforeAlarm) {
                 host_->raise_membership_alarm(
                     "member name claimed by another process: name=" + self_.name.value +
                     " address=" + gossip_entry.address);
@@ -119,7 +122,7 @@
     }
 }
 
-// Entries of a whole table are not queued as changes, which would hold up recent ones.
+// Entries of a complete table are not queued as changes, because they would delay recent changes.
 void Membership::merge_new(Seconds now, const Entry& gossip_entry, bool from_table) {
     put(now, gossip_entry, !from_table);
     if (gossip_entry.state == MemberState::suspected) {
@@ -151,7 +154,7 @@
         return;
     }
     if (known.state == MemberState::present) {
-        suspicions_.start(now, name, accuser);
+        suspicions_.start_suspicion(now, name, accuser);
         Entry accused = known;
         accused.state = MemberState::suspected;
         accused.suspected_by = accuser;
@@ -175,7 +178,7 @@
     if (left_) {
         return;
     }
-    const auto probe = detector_.start(now, settings_.answer_wait, table_, random_);
+    const auto probe = detector_.start_probe(now, settings_.answer_wait, table_, random_);
     if (probe) {
         host_->ping(probe->target, probe->id, gossip_for(probe->target));
     }
@@ -190,7 +193,7 @@
 }
 
 void Membership::conclude_probe(Seconds now) {
-    const auto silent = detector_.conclude();
+    const auto silent = detector_.conclude_probe();
     if (!silent) {
         return;
     }
@@ -200,51 +203,53 @@
     }
 }
 
-void Membership::ping_received(Seconds now, const Entry& from, PingId no, const Gossip& gossip) {
+void Membership::ping_received(Seconds now, const Entry& from, PingId ping_id,
+                               const Gossip& gossip) {
     heard_from(now, from);
     merge_all(now, gossip, from.name);
     if (!left_) {
-        host_->acknowledge(from.name, no, gossip_for(from.name));
+        host_->acknowledge(from.name, ping_id, gossip_for(from.name));
     }
     update_due();
 }
 
-void Membership::indirect_ping_requested(Seconds now, const Entry& from, PingId no,
+void Membership::indirect_ping_requested(Seconds now, const Entry& from, PingId ping_id,
                                          const Name& target, const Gossip& gossip) {
     heard_from(now, from);
     merge_all(now, gossip, from.name);
     if (left_ || target == self_.name || !table_.find(target)) {
-        return host_->report_no_answer(from.name, no);
+        return host_->report_no_answer(from.name, ping_id);
     }
     const PingId own = detector_.new_ping_id();
-    indirect_pings_.add(own, {from.name, no, now + kIndirectWait * settings_.answer_wait});
+    indirect_pings_.add(own,
+                        {from.name, ping_id, now + kIndirectTimeoutFactor * settings_.answer_wait});
     host_->ping(target, own, gossip_for(target));
     update_due();
 }
 
-void Membership::answered(Seconds now, const Entry& from, PingId no, const Gossip& gossip) {
+void Membership::answered(Seconds now, const Entry& from, PingId ping_id, const Gossip& gossip) {
     heard_from(now, from);
     merge_all(now, gossip, from.name);
-    detector_.answered(no);
-    if (const auto ping = indirect_pings_.take(no)) {
+    detector_.on_answer(ping_id);
+    if (const auto ping = indirect_pings_.take(ping_id)) {
         host_->acknowledge(ping->requester, ping->requested_id, gossip_for(ping->requester));
     }
     update_due();
 }
 
 void Membership::unreachable(Seconds now, const Name& name) {
-    if (detector_.connection_failed(now, name)) {
+    if (detector_.on_connection_failed(now, name)) {
         due_ = std::min(due_, now);
     }
 }
 
-// --- Tables: joining, and finding each other again after a partition
-void Membership::send_table(Seconds now, const Name& to, bool wants_back) {
-    const auto parts = table_exchange_.parts_for(now, to, kTablePeriods * settings_.period, self_,
-                                                 table_, too_old(now));
+// --- Tables: joining, and reconnecting after a partition
+void Membership::send_table(Seconds now, const Name& to, bool wants_reply) {
+    const auto parts = table_exchange_.parts_for(
+        now, to, kMinTableIntervalInPeriods * settings_.period, self_, table_, gossip_cutoff(now));
     for (std::size_t i = 0; i < parts.size(); ++i) {
         const bool last = i + 1 == parts.size();
-        host_->send_table(to, parts[i], last && wants_back);
+        host_->send_table(to, parts[i], last && wants_reply);
     }
 }
 
@@ -257,19 +262,19 @@
 }
 
 void Membership::table_received(Seconds now, const Entry& from, const Gossip& part,
-                                bool wants_back) {
+                                bool wants_reply) {
     heard_from(now, from);
     for (const Entry& entry : part) {
         merge(now, entry, from.name, true);
     }
-    if (wants_back && !left_) {
+    if (wants_reply && !left_) {
         send_table(now, from.name, false);
     }
     update_due();
 }
 
-// Two halves of a partition take each other for gone and ping no more. So one member that is gone,
-// or one seed that was never met, is asked for its table now and then.
+// After a partition, each side considers the other one gone and no longer pings it. One member that
+// is gone, or one seed that was never met, is therefore asked for its table periodically.
 void Membership::request_table() {
     const std::vector<std::string> addresses =
         swim::addresses_to_rejoin(self_.address, seeds_, table_);
@@ -285,14 +290,15 @@
     }
 }
 
-// --- This member's own
-void Membership::rule(Seconds now, const Name& name, const Incarnation& incarnation, bool out) {
+// --- Rulings, and leaving the cluster
+void Membership::rule(Seconds now, const Name& name, const Incarnation& incarnation,
+                      bool excluded) {
     const Entry* known = table_.find(name);
-    if (!known || known->incarnation != incarnation || known->excluded == out) {
+    if (!known || known->incarnation != incarnation || known->excluded == excluded) {
         return;
     }
     Entry entry = *known;
-    entry.excluded = out;
+    entry.excluded = excluded;
     ++entry.ruling_number;
     put(now, entry);
 }
@@ -317,11 +323,12 @@
     due_ = suspicions_.next_deadline(due_, table_.cluster_size(), settings_.period);
 }
 
-// A member that stalled finds all its pings unanswered and all suspicions expired, though nobody
-// else did anything wrong. What it waited for meanwhile counts against itself.
+// After a stall, all pings of this member are unanswered and all suspicions have expired, although
+// no other member has failed. The stall therefore counts against this member's own health, and
+// suspicions are extended by its duration.
 void Membership::discount_stall(Seconds late) {
-    detector_.degrade_health(kStallSteps);
-    detector_.cancel();
+    detector_.degrade_health(kStallHealthPenalty);
+    detector_.cancel_probe();
     suspicions_.postpone(late);
 }
 
@@ -344,7 +351,7 @@
     declare_gone(now);
     if (now >= next_regain_) {
         request_table();
-        next_regain_ = now + settings_.regain_every * (kShortestRejoin + random_.draw());
+        next_regain_ = now + settings_.regain_every * (kMinRejoinFactor + random_.draw());
     }
     update_due();
 }
--- a/src/replication/member_health.cpp
+++ b/src/replication/member_health.cpp
@@ -5,14 +5,14 @@
 namespace tideline::replication {
 namespace {
 
-constexpr Seconds kComplaintAgeMost = 3;  // seconds: an older complaint does not count
-// A primary is excluded once so many members report that it does not answer. A primary that is
-// reported to get no acknowledgement of so many members is excluded itself.
-constexpr std::size_t kComplaintsLeast = 2;
+constexpr Seconds kMaxComplaintAge = 3;  // older complaints do not count
+// A primary is excluded once this many members report that it does not answer, or once it reports
+// this many members that do not acknowledge.
+constexpr std::size_t kMinComplaints = 2;
 
-// Members, by the primary of their shards.
+// Members grouped by the primary of their shards.
 struct MembersByPrimary {
-    std::map<Name, std::set<Name>> lagging;  // reported lately as not acknowledging
+    std::map<Name, std::set<Name>> lagging;  // recently reported as not acknowledging
     std::map<Name, std::set<Name>> backups;  // replicas other than the primary
 };
 
@@ -34,7 +34,7 @@
             for (const Name& name : *names) {
                 const std::optional<Seconds> lagging_at =
                     primary_reports.lagging_at(ShardId{i}, name);
-                if (lagging_at && now < *lagging_at + kReportAgeMost) {
+                if (lagging_at && now < *lagging_at + kMaxReplicaReportAge) {
                     members.lagging[primary].insert(name);
                 }
             }
@@ -59,7 +59,7 @@
     : absence_limit_(settings.absence_limit), cooldown_(settings.cooldown) {}
 
 void MemberHealth::lease_acquired(Seconds now, const ReplicaTable& table) {
-    lease_since_ = now;
+    lease_acquired_at_ = now;
     apply_table(table);
     removed_members_ = table.removed_members;
     for (auto& [name, member] : members_) {
@@ -82,7 +82,7 @@
     if (incarnation < member.incarnation) {
         return;
     }
-    // What a former incarnation reported of its disk does not hold for this one.
+    // The report of a former incarnation about its disk does not hold for this one.
     if (incarnation > member.incarnation) {
         member.report.reset();
     }
@@ -97,7 +97,7 @@
 bool MemberHealth::add_report(Seconds now, const Name& name, const Incarnation& incarnation,
                               const ReplicaReport& report, const std::set<Name>& silent_primaries) {
     MemberState& member = members_[name];
-    // A late message of a former incarnation names a former disk.
+    // A delayed report of a former incarnation describes a former disk.
     if (incarnation < member.incarnation) {
         return false;
     }
@@ -134,54 +134,55 @@
     return excluded;
 }
 
-// Excludes primaries that other members report as not answering. A primary that hears the others
-// and is not heard would block its shards for good.
+// Excludes primaries that other members report as not answering. A primary that receives messages
+// but whose own messages are lost would otherwise block its shards permanently.
 void MemberHealth::exclude_silent_primaries(Seconds now, std::vector<Exclusion>& excluded) {
     std::map<Name, std::size_t> complaints;
     std::size_t reporters = 0;
     for (const auto& [name, member] : members_) {
-        if (member.present && now < member.reported_at + kReportAgeMost) {
+        if (member.present && now < member.reported_at + kMaxReplicaReportAge) {
             ++reporters;
         }
         for (const auto& [primary, reported_at] : member.silent_primaries) {
             std::size_t& count = complaints[primary];
-            if (primary != name && now < reported_at + kComplaintAgeMost) {
+            if (primary != name && now < reported_at + kMaxComplaintAge) {
                 ++count;
             }
         }
     }
     for (const auto& [name, count] : complaints) {
-        // Half of the others have to complain: a lower count may be a fault of those who do.
-        if (reporters > 0 && count >= kComplaintsLeast && 2 * count >= reporters - 1) {
-            exclude(now, {name, ExclusionReason::silent, count}, excluded);
+        // At least half of the other members have to complain: if fewer do, the fault may be
+        // theirs.
+        if (reporters > 0 && count >= kMinComplaints && 2 * count >= reporters - 1) {
+            exclude_member(now, {name, ExclusionReason::silent, count}, excluded);
         }
     }
 }
 
 // Excludes members that do not acknowledge. A primary that gets no acknowledgement from most of its
-// backups is more likely the one that receives nothing: it is excluded instead.
+// backups more likely receives nothing itself, so it is excluded in their place.
 void MemberHealth::exclude_lagging(Seconds now, const ReplicaTable& table,
                                    const PrimaryReports& primary_reports,
                                    std::vector<Exclusion>& excluded) {
     MembersByPrimary members = members_by_primary(now, table, primary_reports);
     for (const auto& [primary, lagging] : members.lagging) {
-        // One that is absent does not acknowledge whatever the primary receives.
+        // An absent member can't acknowledge, so it is no evidence against the primary.
         const auto present = static_cast<std::size_t>(
             std::count_if(lagging.begin(), lagging.end(), [&](const Name& name) {
                 const auto member = members_.find(name);
                 return member != members_.end() && member->second.present;
             }));
         const bool primary_at_fault =
-            present >= kComplaintsLeast && 2 * present > members.backups[primary].size();
+            present >= kMinComplaints && 2 * present > members.backups[primary].size();
         for (const Name& name : primary_at_fault ? std::set<Name>{primary} : lagging) {
-            exclude(now, {name, ExclusionReason::lagging, lagging.size()}, excluded);
+            exclude_member(now, {name, ExclusionReason::lagging, lagging.size()}, excluded);
         }
     }
 }
 
-// An exclusion that has not ended is not extended.
-void MemberHealth::exclude(Seconds now, const Exclusion& exclusion,
-                           std::vector<Exclusion>& excluded) {
+// Excludes a member for the cooldown. An exclusion that has not ended is not extended.
+void MemberHealth::exclude_member(Seconds now, const Exclusion& exclusion,
+                                  std::vector<Exclusion>& excluded) {
     MemberState& member = members_[exclusion.member];
     if (now >= member.excluded_until) {
         member.excluded_until = now + cooldown_;
@@ -196,10 +197,10 @@
     }
     const MemberState& member = it->second;
     return member.present && member.report && member.report->disk_works &&
-           now < member.reported_at + kReportAgeMost && now >= member.excluded_until;
+           now < member.reported_at + kMaxReplicaReportAge && now >= member.excluded_until;
 }
 
-bool MemberHealth::is_counted_on(Seconds now, const Name& name) const {
+bool MemberHealth::is_placement_candidate(Seconds now, const Name& name) const {
     const auto it = members_.find(name);
     if (it == members_.end() || removed_members_.contains(name)) {
         return false;
@@ -209,24 +210,24 @@
         return false;
     }
     if (member.present) {
-        return member.report.has_value() || now < lease_since_ + kReportAgeMost;
+        return member.report.has_value() || now < lease_acquired_at_ + kMaxReplicaReportAge;
     }
-    return now < std::max(member.presence_changed_at, lease_since_) + absence_limit_;
+    return now < std::max(member.presence_changed_at, lease_acquired_at_) + absence_limit_;
 }
 
 bool MemberHealth::is_unavailable(Seconds now, ShardId shard_id, const Name& name) const {
-    return is_out_of_reach(now, shard_id, name) ||
-           (is_excluded(now, name) && !is_spared(now, shard_id, name));
+    return is_unreachable_or_lost(now, shard_id, name) ||
+           (is_excluded(now, name) && !is_exempt_from_exclusion(now, shard_id, name));
 }
 
-bool MemberHealth::is_out_of_reach(Seconds now, ShardId shard_id, const Name& name) const {
+bool MemberHealth::is_unreachable_or_lost(Seconds now, ShardId shard_id, const Name& name) const {
     if (is_lost(name, shard_id)) {
         return true;
     }
     const auto it = members_.find(name);
-    // A new lease holder may not have heard of the member yet: that is no sign of a failure.
+    // A new lease holder may not know the member yet, which is no sign of a failure.
     if (it == members_.end()) {
-        return now > lease_since_ + absence_limit_;
+        return now > lease_acquired_at_ + absence_limit_;
     }
     const MemberState& member = it->second;
     return !member.present || (member.report && !member.report->disk_works);
@@ -237,15 +238,15 @@
     return it != members_.end() && now < it->second.excluded_until;
 }
 
-// Whether the member counts for the shard although it is excluded: all replicas within reach are,
-// and it is the first of them.
-bool MemberHealth::is_spared(Seconds now, ShardId shard_id, const Name& name) const {
+// Whether the member counts for the shard although it is excluded: all reachable replicas are
+// excluded, and it is the first of them.
+bool MemberHealth::is_exempt_from_exclusion(Seconds now, ShardId shard_id, const Name& name) const {
     if (shard_id.value >= replicas_.size()) {
         return false;
     }
     const Name* first = nullptr;
     for (const Name& replica : replicas_[shard_id.value]) {
-        if (is_out_of_reach(now, shard_id, replica)) {
+        if (is_unreachable_or_lost(now, shard_id, replica)) {
             continue;
         }
         if (!is_excluded(now, replica)) {
@@ -260,7 +261,7 @@
     const auto it = members_.find(name);
     return !is_unavailable(now, shard_id, name) && it != members_.end() && it->second.report &&
            it->second.report->table_version == table_version_ &&
-           now < it->second.reported_at + kReportAgeMost;
+           now < it->second.reported_at + kMaxReplicaReportAge;
 }
 
 bool MemberHealth::is_lost(const Name& name, ShardId shard_id) const {
--- a/src/replication/replica_backup.cpp
+++ b/src/replication/replica_backup.cpp
@@ -1,5 +1,5 @@
-// Replica as a backup: takes records and digests of the primary, and acknowledges them once they
-// are stored.
+// Replica as a backup: receives records and digests from the primary, and acknowledges them once
+// they are stored.
 
 #include <fmt/format.h>
 
@@ -12,13 +12,14 @@
 namespace tideline::replication {
 namespace {
 
-// The record as it is stored by a backup. `held`: what it had of the key, or null. Times in a
-// message count from its arrival, so a send time may be later than the true one: it is put back by
-// the longest delay, unless the backup had an exacter one, of an earlier message on the attempt.
-Record received_record(const Record& received, const Record* held) {
+// Returns the record as a backup stores it. `held` is the backup's previous record of the key, or
+// null. Ages in a message are counted from its arrival, so a send time may be later than the true
+// one. It is moved back by the longest delay, unless an earlier message on the same attempt gave a
+// more accurate time.
+Record make_backup_record(const Record& received, const Record* held) {
     Record record = received;
     for (AttemptRecord& attempt : record.attempts) {
-        attempt.sent_at -= kMessageDelayMost;
+        attempt.sent_at -= kMaxMessageDelay;
     }
     if (!held) {
         return record;
@@ -33,7 +34,7 @@
     return record;
 }
 
-ReceivedRecord received_from(const Name& from, MessageNumber number, const Record& record) {
+ReceivedRecord make_received_record(const Name& from, MessageNumber number, const Record& record) {
     ReceivedRecord received{from, number, record.version, {}};
     for (const AttemptRecord& attempt : record.attempts) {
         received.sent_at.push_back(attempt.sent_at);
@@ -43,8 +44,8 @@
 
 }  // namespace
 
-// The shard of a message, if `from` is its primary. Otherwise null: refuses a primary that was
-// deposed, and asks for a newer table where the primary's is newer than the own one.
+// Returns the shard that a message is about if `from` is its primary, otherwise null. Refuses a
+// deposed primary, and requests a newer table if the sender's is newer than this member's.
 Shard* Replica::shard_of_primary(const Name& from, ShardId shard_id, TableVersion since,
                                  MessageNumber number) {
     if (shard_id.value >= table_.shards.size() ||
@@ -54,7 +55,7 @@
     }
     const ReplicaSet& replica_set = table_.shards[shard_id.value];
     const auto it = shards_.find(shard_id);
-    // A primary that was deposed, and does not know it, may not go on beside its successor.
+    // A primary that does not know yet that it was deposed must not go on beside its successor.
     if (since < replica_set.since_table || it == shards_.end() || replica_set.replicas.empty() ||
         from != replica_set.primary()) {
         host_->refuse(from, number, table_.version);
@@ -73,23 +74,23 @@
         const auto it = shard->records.find(record->key);
         const Record* const held = it == shard->records.end() ? nullptr : &it->second;
         if (!held || held->version < record->version) {
-            put(shard_id, *shard, received_record(*record, held));
-            shard->received[record->key] = received_from(from, number, *record);
+            store_record(shard_id, *shard, make_backup_record(*record, held));
+            shard->received_records[record->key] = make_received_record(from, number, *record);
         }
     }
     local_writes_.acknowledge_when_stored(*host_, from, number);
 }
 
-// Only in memory: after a restart the age of an attempt is not known anyway.
+// Changes the record in memory only: after a restart the ages of attempts are unknown anyway.
 void Replica::receive_delay(const Name& from, ShardId shard_id, const Key& key,
                             MessageNumber number, Seconds delay) {
     const auto shard = shards_.find(shard_id);
     if (shard == shards_.end()) {
         return;
     }
-    const auto found = shard->second.received.find(key);
+    const auto found = shard->second.received_records.find(key);
     const auto record = shard->second.records.find(key);
-    if (found == shard->second.received.end() || record == shard->second.records.end() ||
+    if (found == shard->second.received_records.end() || record == shard->second.records.end() ||
         found->second.from != from || found->second.number != number ||
         found->second.version != record->second.version || delay < 0) {
         return;
@@ -98,7 +99,7 @@
     for (std::size_t i = 0; i < attempts.size() && i < found->second.sent_at.size(); ++i) {
         attempts[i].sent_at = std::max(attempts[i].sent_at, found->second.sent_at[i] - delay);
     }
-    shard->second.received.erase(found);
+    shard->second.received_records.erase(found);
 }
 
 void Replica::receive_digests(Seconds now, const Name& from, ShardId shard_id, TableVersion since,
@@ -107,14 +108,14 @@
     if (!shard) {
         return;
     }
-    ShardDifferences found = differences(now, shard->records, theirs);
+    ShardDifferences found = find_differences(now, shard->records, theirs);
     local_writes_.send_differences_when_stored(*host_, from, number, std::move(found.ranges),
                                                std::move(found.key_versions));
 }
 
 void Replica::on_stored(Seconds now, WriteNumber up_to) {
     local_writes_.on_stored(*host_, up_to);
-    finish_operations(now, operations_.ready(local_writes_));
+    finish_operations(now, operations_.ready_operations(local_writes_));
 }
 
 void Replica::mark_corrupt(Seconds, ShardId shard_id) {
--- a/src/replication/replica_expiry.cpp
+++ b/src/replication/replica_expiry.cpp
@@ -1,4 +1,4 @@
-// Replica: drops records that have expired, or that are not held any more.
+// Replica: drops records that have expired or that this member no longer holds.
 
 #include "replication/replica.hpp"
 #include "replication/replica_limits.hpp"
@@ -13,7 +13,7 @@
             return false;
         }
         dropped.push_back(each.first);
-        shard.received.erase(each.first);
+        shard.received_records.erase(each.first);
         return true;
     });
     if (dropped.empty()) {
@@ -22,8 +22,8 @@
     local_writes_.store_removal(*host_, shard_id, dropped);
 }
 
-// Not while an operation is under way on the key: it would have no record to send.
-void Replica::expire(Seconds now) {
+// Keeps a record while an operation on its key is in progress, because the operation may resend it.
+void Replica::drop_expired_records(Seconds now) {
     if (now < expiry_checked_at_ + kExpiryInterval) {
         return;
     }
@@ -31,7 +31,7 @@
     for (auto& [shard_id, shard] : shards_) {
         const Shard& checked = shard;
         drop_records_if(shard_id, shard, [&](const Record& record) {
-            return now >= record.expires_at && !checked.writing.contains(record.key);
+            return now >= record.expires_at && !checked.active_operations.contains(record.key);
         });
     }
 }
--- a/src/swim/dissemination.cpp
+++ b/src/swim/dissemination.cpp
@@ -9,42 +9,45 @@
 using cluster::MemberState;
 using cluster::Name;
 
-// Times log2 of the cluster's size that a change is sent: reaches all but few.
-constexpr double kTransmissions = 3;
-// Entries a message: recent changes.
-constexpr std::size_t kMostChanges = 6;
-// Entries a message sent in turn: what a lost message held comes again.
-constexpr std::size_t kMostInTurn = 4;
+// A change is sent this number of times log2 of the cluster size, which reaches all but a few
+// members.
+constexpr double kTransmissionFactor = 3;
+// Recent changes per message.
+constexpr std::size_t kMaxChanges = 6;
+// Entries per message that are sent in rotation. They repeat what lost messages carried.
+constexpr std::size_t kMaxInRotation = 4;
 
 }  // namespace
 
 std::vector<Entry> Dissemination::entries_for(const Name& receiver, const Entry& self,
-                                              const MemberTable& table, Seconds too_old) {
+                                              const MemberTable& table, Seconds gossip_cutoff) {
     std::vector<Entry> entries;
     std::set<Name> included;
-    // A suspect learns of it in the first message, so that it can refute.
+    // A suspected member learns of the suspicion from the first message to it, so that it can
+    // refute it.
     if (const Entry* entry = table.find(receiver); entry && entry->state != MemberState::present) {
         entries.push_back(*entry);
         included.insert(receiver);
     }
     const double size = table.cluster_size();
-    const int transmissions = static_cast<int>(std::ceil(kTransmissions * std::log2(size + 1)));
-    for (const Name& name : changes_.take(kMostChanges, transmissions, included)) {
+    const int transmissions =
+        static_cast<int>(std::ceil(kTransmissionFactor * std::log2(size + 1)));
+    for (const Name& name : changes_.take(kMaxChanges, transmissions, included)) {
         entries.push_back(name == self.name ? self : *table.find(name));
     }
-    add_in_turn(entries, included, table, too_old);
+    add_in_rotation(entries, included, table, gossip_cutoff);
     return entries;
 }
 
-// A change that was lost on the way to one member would stay unknown to it. So all entries are sent
-// in turn, a few a message; but not those that will soon be forgotten, or they would be passed on
-// for ever.
-void Dissemination::add_in_turn(std::vector<Entry>& entries, std::set<Name>& included,
-                                const MemberTable& table, Seconds too_old) {
-    for (std::size_t i = 0; i < kMostInTurn && !table.entries().empty(); ++i) {
-        const Entry& entry = table.following(last_in_turn_);
-        last_in_turn_ = entry.name;
-        if (!table.gone_before(entry.name, too_old) && included.insert(entry.name).second) {
+// A member that missed a change would otherwise never learn of it. All entries are therefore sent
+// in rotation, a few per message. Entries that will soon be forgotten are left out, because they
+// would circulate for ever.
+void Dissemination::add_in_rotation(std::vector<Entry>& entries, std::set<Name>& included,
+                                    const MemberTable& table, Seconds gossip_cutoff) {
+    for (std::size_t i = 0; i < kMaxInRotation && !table.entries().empty(); ++i) {
+        const Entry& entry = table.entry_after(last_in_rotation_);
+        last_in_rotation_ = entry.name;
+        if (!table.gone_before(entry.name, gossip_cutoff) && included.insert(entry.name).second) {
             entries.push_back(entry);
         }
     }
--- a/src/swim/ping_order.cpp
+++ b/src/swim/ping_order.cpp
@@ -8,7 +8,8 @@
 
 using cluster::Name;
 
-constexpr std::size_t kTriesPerDraw = 4;  // members may be drawn twice, or not be accepted
+// A draw may hit a member that was drawn already or is not accepted.
+constexpr std::size_t kTriesPerDraw = 4;
 
 }  // namespace
 
@@ -26,14 +27,14 @@
     }
 }
 
-std::optional<Name> PingOrder::next(RandomSource& random, const Accepts& pinged) {
+std::optional<Name> PingOrder::next(RandomSource& random, const Accepts& should_ping) {
     for (std::size_t tries = names_.size(); tries > 0; --tries) {
         if (position_ >= names_.size()) {
             position_ = 0;
             shuffle(random);
         }
         const Name name = names_[position_];
-        if (pinged(name)) {
+        if (should_ping(name)) {
             ++position_;
             return name;
         }
@@ -42,11 +43,12 @@
     return std::nullopt;
 }
 
-std::vector<Name> PingOrder::draw(std::size_t most, RandomSource& random,
+std::vector<Name> PingOrder::draw(std::size_t max_count, RandomSource& random,
                                   const Accepts& accepts) const {
     std::vector<Name> drawn;
     for (std::size_t tries = 0;
-         tries < kTriesPerDraw * most && drawn.size() < most && !names_.empty(); ++tries) {
+         tries < kTriesPerDraw * max_count && drawn.size() < max_count && !names_.empty();
+         ++tries) {
         const Name& name = names_[random.draw_below(names_.size())];
         const bool fresh = std::find(drawn.begin(), drawn.end(), name) == drawn.end();
         if (fresh && accepts(name)) {
--- a/src/swim/suspicions.cpp
+++ b/src/swim/suspicions.cpp
@@ -8,34 +8,35 @@
 
 using cluster::Name;
 
-// Shortest time to refute, in periods times log10 of the cluster's size: the suspect hears of it
-// and answers.
-constexpr double kShortestTimeout = 4;
-// Longest time, of the shortest: while one member alone accuses, it may be the slow one.
-constexpr double kLongestTimeout = 3;
-// Further accusers after which the shortest time holds.
-constexpr double kMostFurtherAccusers = 3;
-constexpr double kSmallestScale = 10;  // members: the logarithm is at least 1
+// Shortest time-out of a suspicion, in periods times log10 of the cluster size: the suspect learns
+// of the suspicion and refutes it within that time.
+constexpr double kMinTimeoutFactor = 4;
+// Longest time-out, as a multiple of the shortest. It holds for a single accuser, which may itself
+// be the slow member.
+constexpr double kMaxTimeoutFactor = 3;
+// Number of further accusers after which the shortest time-out holds.
+constexpr double kMaxFurtherAccusers = 3;
+constexpr double kMinClusterSize = 10;  // members, so that the logarithm is at least 1
 
 }  // namespace
 
-void Suspicions::start(Seconds now, const Name& suspect, const Name& accuser) {
+void Suspicions::start_suspicion(Seconds now, const Name& suspect, const Name& accuser) {
     suspicions_[suspect] = {now, {accuser}};
 }
 
 bool Suspicions::add_accuser(const Name& suspect, const Name& accuser) {
     Suspicion& suspicion = suspicions_[suspect];
-    return suspicion.accusers.size() <= static_cast<std::size_t>(kMostFurtherAccusers) &&
+    return suspicion.accusers.size() <= static_cast<std::size_t>(kMaxFurtherAccusers) &&
            suspicion.accusers.insert(accuser).second;
 }
 
-// Long while one member alone accuses, and shorter as others join in.
+// The time-out is longest with a single accuser, and decreases as others join.
 Seconds Suspicions::deadline(const Suspicion& suspicion, double cluster_size, Seconds period) {
     const double shortest =
-        kShortestTimeout * std::log10(std::max(kSmallestScale, cluster_size)) * period;
-    const double longest = kLongestTimeout * shortest;
+        kMinTimeoutFactor * std::log10(std::max(kMinClusterSize, cluster_size)) * period;
+    const double longest = kMaxTimeoutFactor * shortest;
     const double further = static_cast<double>(suspicion.accusers.size()) - 1;
-    const double enough = std::min(kMostFurtherAccusers, cluster_size - 2);
+    const double enough = std::min(kMaxFurtherAccusers, cluster_size - 2);
     if (enough < 1) {
         return suspicion.since + shortest;
     }
