--- a/src/lease/lease_client.hpp
+++ b/src/lease/lease_client.hpp
@@ -45,7 +45,7 @@
     bool operator==(const LeaseClientSettings&) const = default;
 };
 
-// Not thread-safe; called from the event loop only.
+// Keeps the leases that the member wants. Not thread-safe; called from the event loop only.
 class LeaseClient {
   public:
     // The request ids of each incarnation start from another number. Otherwise an answer to the
--- a/src/lease/lease_manager.hpp
+++ b/src/lease/lease_manager.hpp
@@ -55,7 +55,8 @@
     bool operator==(const LeaseManagerSettings&) const = default;
 };
 
-// Not thread-safe; called from the event loop only.
+// Grants, renews and ends leases while this planner is the leader. Not thread-safe; called from the
+// event loop only.
 class LeaseManager {
   public:
     LeaseManager(LeaseManagerHost& host, const LeaseManagerSettings& settings,
--- a/src/planner/planner_config.hpp
+++ b/src/planner/planner_config.hpp
@@ -12,6 +12,7 @@
 
 namespace tideline::planner {
 
+// The settings of the operator's file.
 struct PlannerConfig {
     cluster::Name name;
     std::string listen;   // the address to listen at, as a numeric host:port
--- a/src/planner/planner_core.hpp
+++ b/src/planner/planner_core.hpp
@@ -32,6 +32,7 @@
     virtual void holder_changed(const lease::LeaseName&) {}
 };
 
+// Settings from the operator's file.
 struct PlannerCoreSettings {
     raft::RaftSettings raft;
     lease::LeaseManagerSettings leases;
--- a/src/raft/raft.hpp
+++ b/src/raft/raft.hpp
@@ -60,6 +60,7 @@
     bool operator==(const RaftSettings&) const = default;
 };
 
+// One server of a Raft cluster.
 class Raft {
   public:
     // `state` was read from the disk. `transport` and `state_machine` have to outlive this object.
@@ -88,8 +89,8 @@
     // The command may still be lost if another server becomes leader before it is committed.
     LogIndex propose(std::string command);
     // Appends a new voter set, in which the vote of at most one server may change. Returns false
-    // and does nothing if more votes change, if this server is not a ready leader, or if the last
-    // change is not committed yet.
+    // and does nothing if more votes change, if the set has no voter or equals the present one, if
+    // this server is not a ready leader, or if the last change is not committed yet.
     bool change_voters(const VoterSet& voters);
     // Starts a round of heartbeats (the ReadIndex protocol, section 6.4 of the dissertation). Once
     // confirmed_round reaches the returned round, it is certain that no other server was leader of
--- a/src/raft/types.hpp
+++ b/src/raft/types.hpp
@@ -41,6 +41,7 @@
 };
 using VoterSet = std::map<ServerId, Voter>;
 
+// The numeric values are part of the wire protocol and of the stored log.
 enum class EntryKind { no_op, command, voters };
 struct LogEntry {
     Term term;
--- a/src/slow_start/slow_start_coordinator.hpp
+++ b/src/slow_start/slow_start_coordinator.hpp
@@ -15,6 +15,7 @@
 
 using cluster::Name;
 
+// Sends the allocations to the members.
 class SlowStartCoordinatorHost {
   public:
     virtual ~SlowStartCoordinatorHost() = default;
@@ -39,6 +40,7 @@
     Seconds interval = 0.5;
 };
 
+// Computes the allocations of all members at a fixed interval while this member holds the lease.
 class SlowStartCoordinator {
   public:
     SlowStartCoordinator(SlowStartCoordinatorHost& host, const SlowStartSettings& settings)
@@ -55,6 +57,7 @@
     void endpoint_removed(const EndpointId& endpoint) {
         endpoints_.erase(endpoint);
     }
+    // Sets the number of endpoints that are ready to receive requests.
     void ready_endpoints(std::size_t count) {
         ready_endpoints_ = count;
     }
@@ -62,6 +65,7 @@
     // window.
     void receive_recent_attempts(Seconds now, const Name& member, double recent_attempts);
     void tick(Seconds now);
+    // Returns the time at which tick has to be called next; infinity if it need not be called.
     Seconds due() const;
     // The most attempts that all members together may send to the endpoint within any one window.
     double endpoint_limit(Seconds now, const EndpointId& endpoint) const;
