--- a/src/policy/release_evidence.cpp
+++ b/src/policy/release_evidence.cpp
@@ -81,7 +81,7 @@
 }
 
 void ReleaseEvidence::add_answer(const Request& request, const Attempt& attempt, bool failed,
-                                 Seconds took, bool under_pressure, bool released) {
+                                 Seconds took, bool under_pressure, bool trial_is_over) {
     const EndpointInfo& endpoint = attempt.endpoint;
     // Clients flag answers of cold endpoints too.
     add_count(kChargeFlagged, endpoint.id, endpoint.build, {1, 0});
@@ -103,7 +103,7 @@
         const double slow = took > slow_threshold(times) ? 1.0 : 0.0;
         add_count(kChargeSlowness, endpoint.id, endpoint.build, {1, slow});
     }
-    if (endpoint.build < judged_build_ || released) {
+    if (endpoint.build < judged_build_ || trial_is_over) {
         times.add(took);
     }
 }
--- a/src/policy/release_evidence.hpp
+++ b/src/policy/release_evidence.hpp
@@ -42,7 +42,7 @@
     void drop_judging_window();
 
     void add_answer(const Request& request, const Attempt& attempt, bool failed, Seconds took,
-                    bool under_pressure, bool build_is_released_or_earlier);
+                    bool under_pressure, bool trial_is_over);
     // Counts an answer of any endpoint, for comparison with answers from before the trial.
     void add_fleet_answer(RequestClass request_class, const EndpointId& endpoint, Seconds took);
     void add_flag(const EndpointId& endpoint, Build build);
