--- a/src/policy/routing_policy.cpp
+++ b/src/policy/routing_policy.cpp
@@ -77,7 +77,7 @@
             return;
         }
         if (ballot->is_first_back_vote) {
-            modules.host.log_event("vote back: build=" + std::to_string(ballot->build.value) +
+            modules.host.log_event("back vote cast: build=" + std::to_string(ballot->build.value) +
                                    " stage=" + std::to_string(ballot->stage.value));
         }
         modules.host.vote(ballot->build, ballot->stage, ballot->vote);
