--- a/src/policy/exposure_cap.cpp
+++ b/src/policy/exposure_cap.cpp
@@ -62,7 +62,7 @@
 bool ExposureCap::is_below_cap(Seconds now, RequestClass counted, Build build, double cap) {
     const Seconds window = settings_.release.exposure_window;
     const Seconds counted_from = std::max(now - window, release_.exposure_counted_from());
-    const double share = cap * received_[counted].after(counted_from);
+    const double share = cap * received_[counted].count_after(counted_from);
     const double sent = exposed_[{build, counted}].since(now - window);
     const double allowance = now - started_at_ > window ? settings_.release.allowance : 0;
     const double rounding = rounding_[counted].value(now, window, random_);
--- a/src/policy/policy_settings.cpp
+++ b/src/policy/policy_settings.cpp
@@ -37,8 +37,9 @@
     const std::map<std::string, Effect> effects = {{"idempotent", Effect::idempotent},
                                                    {"fingerprinted", Effect::fingerprinted},
                                                    {"side-effecting", Effect::side_effecting}};
-    const std::map<std::string, Group> groups = {
-        {"all", Group::all}, {"location", Group::location}, {"cell", Group::cell}};
+    const std::map<std::string, RepeatGroup> groups = {{"all", RepeatGroup::all},
+                                                       {"location", RepeatGroup::location},
+                                                       {"cell", RepeatGroup::cell}};
     RequestClassSettings request_class;
     request_class.slo_time = reader.required_number(prefix + ".slo_time");
     reader.required_number(prefix + ".time_limit");
--- a/src/policy/policy_settings.hpp
+++ b/src/policy/policy_settings.hpp
@@ -16,7 +16,7 @@
     Seconds repeat_window = 0;  // fingerprinted requests only: how long a repeat is recognised
     double billed_value = 1;    // value of one answered request
     Effect effect = Effect::idempotent;
-    Group repeat_group = Group::all;  // endpoints that recognise a repeat
+    RepeatGroup repeat_group = RepeatGroup::all;  // endpoints that recognise a repeat
 };
 
 // What moves a release from one stage to the next: the votes of sidecars, or time.
--- a/src/policy/records.hpp
+++ b/src/policy/records.hpp
@@ -15,7 +15,7 @@
 // second time.
 enum class Effect { idempotent, fingerprinted, side_effecting };
 // The endpoints that recognise repeats of each other's requests.
-enum class Group { all, location, cell };
+enum class RepeatGroup { all, location, cell };
 
 struct Attempt {
     EndpointInfo endpoint;  // as listed when the attempt was sent
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -11,7 +11,7 @@
     if (request_class.effect == Effect::side_effecting) {
         return RepeatDecision::side_effect;
     }
-    const Group group = request_class.repeat_group;
+    const RepeatGroup group = request_class.repeat_group;
     for (const Attempt& attempt : request.attempts) {
         if (!attempt.may_have_run) {
             continue;
@@ -19,10 +19,10 @@
         if (now > attempt.sent + request_class.repeat_window) {
             return RepeatDecision::window_over;
         }
-        if (group == Group::location && endpoint.location != attempt.endpoint.location) {
+        if (group == RepeatGroup::location && endpoint.location != attempt.endpoint.location) {
             return RepeatDecision::outside_location;
         }
-        if (group == Group::cell && endpoint.cell != attempt.endpoint.cell) {
+        if (group == RepeatGroup::cell && endpoint.cell != attempt.endpoint.cell) {
             return RepeatDecision::outside_cell;
         }
     }
--- a/src/policy/samples.hpp
+++ b/src/policy/samples.hpp
@@ -111,7 +111,7 @@
         return static_cast<double>(kept_.end() -
                                    std::lower_bound(kept_.begin(), kept_.end(), time));
     }
-    double after(double time) const {
+    double count_after(double time) const {
         return static_cast<double>(kept_.end() -
                                    std::upper_bound(kept_.begin(), kept_.end(), time));
     }
