--- a/src/policy/outlier_ejection.cpp
+++ b/src/policy/outlier_ejection.cpp
@@ -10,8 +10,9 @@
 constexpr Seconds kMaxEjectionDuration = 6;
 constexpr Seconds kOverloadEjectionDuration = 0.1;  // after the endpoint rejected an attempt
 constexpr int kEjectionFailureThreshold = 5;        // in a row; too many to be due to chance
-constexpr double kExpectedLoggingSidecars = 8;      // of the fleet, on average per ejection
-constexpr double kMinJitterFactor = 0.75;           // bounds of the random factor of a duration
+// How many sidecars of the fleet log an ejection, on average.
+constexpr double kExpectedLoggingSidecars = 8;
+constexpr double kMinJitterFactor = 0.75;  // bounds of the random factor of a duration
 constexpr double kMaxJitterFactor = 1.25;
 
 }  // namespace
--- a/src/policy/policy_settings.hpp
+++ b/src/policy/policy_settings.hpp
@@ -12,7 +12,7 @@
 
 // The service level of one request class, and what a retry of its requests does.
 struct RequestClassSettings {
-    Seconds slo_time = 0;       // an answer within this time counts as in time
+    Seconds slo_time = 0;       // the objective for the response time
     Seconds repeat_window = 0;  // fingerprinted requests only: how long a repeat is recognised
     double billed_value = 1;    // value of one answered request
     Effect effect = Effect::idempotent;
@@ -25,7 +25,8 @@
 struct ReleaseSettings {
     Seconds exposure_window = 0;  // window in which exposed requests are counted
     double allowance = 0;         // requests per window by which exposure may exceed the cap
-    double first_cap = 0;         // share of the requests; also the cap of builds not announced yet
+    double first_cap =
+        0;  // share of the requests in the first stage; holds for unannounced builds too
     bool cap_per_request_class = false;
     int guarded_stages = 0;     // number of first stages that get idempotent requests only
     bool one_way_keys = false;  // older builds may not get a key that a new build has answered
--- a/src/policy/samples.hpp
+++ b/src/policy/samples.hpp
@@ -97,8 +97,7 @@
     std::size_t in_batch_ = 0;
 };
 
-// Times of events, which are added in order. since() counts the events at or after a time, after()
-// those strictly after it.
+// Times of events, which are added in order.
 class EventWindow {
   public:
     void add(double time, double kept_for) {
@@ -107,10 +106,12 @@
             kept_.pop_front();
         }
     }
+    // The number of events at this time or later.
     double since(double time) const {
         return static_cast<double>(kept_.end() -
                                    std::lower_bound(kept_.begin(), kept_.end(), time));
     }
+    // The number of events later than this time.
     double count_after(double time) const {
         return static_cast<double>(kept_.end() -
                                    std::upper_bound(kept_.begin(), kept_.end(), time));
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -38,7 +38,7 @@
     return initial + (1 - initial) * age / settings_.duration;
 }
 
-// Counts requests and does not weigh them by work, since light requests would then always fit.
+// Counts requests and does not weigh them by work, because light requests would then always fit.
 double SlowStart::even_share(Seconds now, std::size_t endpoints) const {
     const Seconds observed_time = std::clamp(now - started_at_, settings_.window, kServedWindow);
     return served_.since(now - observed_time) / observed_time * settings_.window /
