--- a/src/policy/policy_settings.hpp
+++ b/src/policy/policy_settings.hpp
@@ -25,8 +25,7 @@
 struct ReleaseSettings {
     Seconds exposure_window = 0;  // window in which exposed requests are counted
     double allowance = 0;         // requests per window by which exposure may exceed the cap
-    double first_cap =
-        0;  // share of the requests in the first stage; holds for unannounced builds too
+    double first_cap = 0;         // cap of the first stage and of builds not announced yet
     bool cap_per_request_class = false;
     int guarded_stages = 0;     // number of first stages that get idempotent requests only
     bool one_way_keys = false;  // older builds may not get a key that a new build has answered
