--- a/src/net/check_invariant.hpp
+++ b/src/net/check_invariant.hpp
@@ -1,4 +1,5 @@
-// Invariants: asserted in debug builds, counted in release builds; the counts are logged.
+// Run-time checks of invariants: a broken one aborts a debug build; a release build counts it and
+// writes the counts to the log.
 #pragma once
 
 #include <cassert>
@@ -7,13 +8,14 @@
 
 namespace tideline::net {
 
-// How often each invariant was broken, by its text. Not thread-safe: the event loop only.
+// Number of violations of each invariant, by its text. Not thread-safe: only the event loop's
+// thread may call it.
 inline std::map<std::string, long>& broken_invariants() {
     static std::map<std::string, long> counts;
     return counts;
 }
 
-// Whether the invariant holds, so that callers can leave early where it does not.
+// Returns whether the invariant holds, so that a caller can return early if it does not.
 inline bool check_invariant(bool holds, const char* invariant) {
     assert(holds && "invariant broken");
     if (!holds) {
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -46,9 +46,9 @@
     schedule_read();
 }
 
-// The routing policy answers within its own call, so the next query is read from the loop: reading
-// it here would enter the policy again. The delay keeps a client that sends hundreds of messages
-// at once from starving the others.
+// The next query is read from the event loop, not from within this call: the routing policy may
+// answer within its own call, and reading here would enter it recursively. With a delay, a client
+// that sends hundreds of messages at once does not starve the others.
 void ClientConnection::schedule_read(Seconds delay) {
     if (resume_timer_ != Timers::kNone) {
         return;
@@ -101,11 +101,12 @@
         if (!(started_ ? read_message() : read_startup())) {
             break;
         }
-        state_ = State::none;  // the time limit of the state starts again with the next message
+        state_ = State::none;  // restarts the time limit of the state for the next message
         message_began_ = clock_now();
     }
     if (state_ == State::partial_message && arrived_bytes > seen_bytes_) {
-        state_ = State::none;  // the message has grown
+        // The message has grown, so its time limit starts again.
+        state_ = State::none;
     }
     seen_bytes_ = in_.size();
     if (ending_) {
@@ -169,13 +170,13 @@
     }
 }
 
-// Every state in which a client may be silent has a time limit or can be closed to make room:
-// without that, silent clients would hold descriptors and memory for good.
+// Every state in which a client may be silent either has a time limit or allows the connection to
+// be closed to make room. Without that, silent clients would hold descriptors and memory forever.
 void ClientConnection::update_state() {
     if (closed()) {
         return;
     }
-    // While a request is in flight, further messages can stay in the kernel's buffer.
+    // While a request is in flight, further input stays in the kernel's buffer.
     in_.bound(request_ ? kInitialBufferBytes : kMaxMessageBytes + kInitialBufferBytes);
     const State state = current_state();
     if (state == state_) {
@@ -191,7 +192,8 @@
     if (state == State::awaiting_startup) {
         fail_after(kStartupMessageTimeout, ClientError::no_startup_message);
     } else if (state == State::partial_message) {
-        // It may be slow for as long as somebody may wait for its answer, but may not stand still.
+        // The message may take as long as the longest time limit of any request, but each pause in
+        // it is limited.
         const Seconds allowed = std::max(kPartialMessageTimeout, longest_time_limit_);
         const Seconds left = allowed - (clock_now() - message_began_);
         fail_after(std::min(kPartialMessageTimeout, left), ClientError::partial_message_stalled);
@@ -216,7 +218,7 @@
     });
 }
 
-// False if nothing whole was read.
+// Returns false if no complete message was read.
 bool ClientConnection::read_startup() {
     std::uint32_t code = 0;
     std::string_view body;
@@ -244,7 +246,8 @@
         return put("N");
     }
     if (code == pg::kCancelRequest) {
-        return end();  // the protocol has no answer to it; there is nothing to cancel
+        // The protocol defines no answer to a cancel request, and nothing can be cancelled here.
+        return end();
     }
     if (code >> 16 != pg::kMajor) {
         return fail(ClientError::protocol_version_unsupported);
@@ -256,8 +259,9 @@
     put(pg::welcome());
 }
 
-// False if nothing whole was read. A client that sends what cannot be read sends it again as soon
-// as it is rejected. So the connection ends with the error, and by the first bytes that show it.
+// Returns false if no complete message was read. A client that sends malformed input usually
+// repeats it after a rejection, so the connection is closed with an error, as soon as the first
+// bytes show that the input is malformed.
 bool ClientConnection::read_message() {
     if (const char first = in_.all()[0]; first != 'Q' && first != 'X') {
         fail(ClientError::message_type_unsupported);
@@ -282,7 +286,7 @@
     return true;
 }
 
-// False if the message has to stay unread for now.
+// Returns false if the message has to stay in the buffer for now.
 bool ClientConnection::handle_message(char type, std::string_view body) {
     if (type == 'X') {
         end();
@@ -300,7 +304,7 @@
     return true;
 }
 
-// Callers use the empty query to ask whether this sidecar can serve.
+// Clients send the empty query to find out whether this sidecar can serve.
 bool ClientConnection::answer_empty_query() {
     awaiting_readiness_ = !handler_.can_serve();
     if (awaiting_readiness_) {
--- a/src/net/client_connection.hpp
+++ b/src/net/client_connection.hpp
@@ -1,5 +1,5 @@
-// One connection from a client: reads the PostgreSQL startup and simple queries one at a time,
-// and writes their answers in order.
+// A connection from a client. It reads the PostgreSQL startup message and simple queries, handles
+// one query at a time and writes the answers in order.
 #pragma once
 
 #include <optional>
@@ -13,73 +13,79 @@
 
 using ClientId = Id<struct ClientTag, std::uint64_t>;
 
-// What a client's connection is used for at present, in the order in which connections are closed
-// to make room; `needed` ones are never closed for that.
+// The use of a client's connection. When descriptors run out, connections are closed in the order
+// of these values; one that is `needed` is never closed for that reason.
 enum class ClientUse { silent, partial_message, idle, needed };
 
-// Takes the requests that clients send. Called from the event loop only.
+// Receives the requests of clients. Called only from the event loop's thread.
 class ClientRequestHandler {
   public:
     virtual ~ClientRequestHandler() = default;
-    // Whether queries can be served; while not, the empty query is left unanswered.
+    // Returns whether the sidecar can serve queries. As long as it can not, the empty query, with
+    // which clients check readiness, is left unanswered.
     virtual bool can_serve() = 0;
-    // Registers a request without sending it. Nothing if the request class is unknown or another
-    // request with this id is open.
+    // Registers a request without routing it. Returns nothing if the request class is unknown or
+    // another open request has the same id.
     virtual std::optional<RequestId> admit(ClientId client, const ClientQuery& query) = 0;
-    // The connection is ready to take the answer: the request may be routed now.
+    // Routes an admitted request. The connection can receive the answer from this call on.
     virtual void request_admitted(RequestId request) = 0;
-    // The client closed its connection before the answer.
+    // Called when the client closed its connection before the request was answered.
     virtual void client_disconnected(RequestId request) = 0;
 };
 
 class ClientConnection : public TcpConnection {
   public:
-    // Keeps the connections and the budgets that they share. Called from the event loop only.
+    // The owner of all client connections and of the limits that they share. Called only from the
+    // event loop's thread.
     class Owner {
       public:
         virtual ~Owner() = default;
         virtual bool shutting_down() const = 0;
         virtual void use_changed(ClientId client, ClientUse use) = 0;
         virtual void became_idle() = 0;
-        // The memory held by an incomplete message may have changed.
+        // Called whenever the memory that an incomplete message takes up may have changed.
         virtual void partial_message_changed(ClientId client) = 0;
         virtual void connection_rejected(ClientError error) = 0;
-        // Closes the connection and keeps the object until the end of the loop's pass.
+        // Closes the connection. The object is destroyed at the end of the current pass of the
+        // event loop.
         virtual void remove(ClientId client) = 0;
     };
 
-    // `longest_time_limit`: the longest time that any request may take, s. `owner` and `handler`
-    // outlive the connection.
+    // `longest_time_limit` is the largest time limit of all request classes, in seconds. `owner`
+    // and `handler` must outlive the connection.
     ClientConnection(EventLoop& loop, Owner& owner, ClientRequestHandler& handler,
                      Seconds longest_time_limit);
     ~ClientConnection() override;
     ClientConnection(const ClientConnection&) = delete;
     ClientConnection& operator=(const ClientConnection&) = delete;
 
-    // Takes over an accepted descriptor.
+    // Starts to serve an accepted socket and takes ownership of its descriptor.
     void begin(ClientId client, int fd);
-    // Writes the whole answer to the request in flight, without its ReadyForQuery.
+    // Writes the complete answer to the request in flight and adds the ReadyForQuery message, which
+    // `bytes` does not include.
     void answer(std::string_view bytes);
-    // Reads on from the loop after `delay` seconds.
+    // Schedules another read from the event loop after `delay` seconds.
     void schedule_read(Seconds delay = 0);
-    // Ends the connection once all that was put is written.
+    // Closes the connection after all pending output has been written.
     void end();
-    // Ends the connection because incomplete messages take up too much memory.
+    // Closes the connection with an error because incomplete messages take up too much memory.
     void reject_partial_message();
-    // Between two requests, with nothing unread or unwritten.
+    // Returns whether the connection is between two requests, with no unread input and no pending
+    // output.
     bool is_idle();
     bool has_request() const {
         return request_.has_value();
     }
-    // Bytes of memory that an incomplete message takes up beyond the initial buffer.
+    // Memory in bytes that an incomplete message takes up beyond the initial buffer.
     std::size_t partial_message_bytes() const;
 
   protected:
     void on_received() override;
     void on_written() override;
     void on_closed() override;
-    // A client that sent more than is read while it waits, and then closed, has to be noticed at
-    // once: otherwise its request would be served for nobody.
+    // While a request is in flight, input beyond the buffer's limit is not read. The client's close
+    // must be noticed at once all the same: otherwise the request would be served for a client that
+    // has left.
     bool reports_close_while_full() const override {
         return true;
     }
@@ -111,15 +117,15 @@
     Owner& owner_;
     ClientRequestHandler& handler_;
     const Seconds longest_time_limit_;
-    std::optional<RequestId> request_;  // the one in flight
+    std::optional<RequestId> request_;  // the request in flight
     ClientId client_;
     bool started_ = false;
     bool ending_ = false;
     bool failed_ = false;
-    bool awaiting_readiness_ = false;  // its empty query waits until the sidecar can serve
+    bool awaiting_readiness_ = false;  // an empty query is held back until the sidecar can serve
     int encryption_requests_ = 0;
-    std::size_t seen_bytes_ = 0;  // of an incomplete message, when it was last looked at
-    Seconds message_began_ = 0;   // the earliest time at which that message may have begun
+    std::size_t seen_bytes_ = 0;  // size of the incomplete message at the last check
+    Seconds message_began_ = 0;   // the earliest time at which the current message can have begun
     State state_ = State::none;
     Timers::Id state_timer_ = Timers::kNone;
     Timers::Id resume_timer_ = Timers::kNone;
--- a/src/net/client_error.hpp
+++ b/src/net/client_error.hpp
@@ -1,11 +1,11 @@
-// The errors with which the sidecar ends a client's connection.
+// Errors that make the sidecar close a client's connection.
 #pragma once
 
 #include <string_view>
 
 namespace tideline::net {
 
-// Why the sidecar ends a client's connection with an error.
+// The reason for which the sidecar closes a client's connection with an error.
 enum class ClientError {
     no_startup_message,
     partial_message_stalled,
@@ -21,7 +21,7 @@
     unknown_class_or_duplicate_id,
     too_many_partial_messages,
 };
-// The text and the SQLSTATE that are sent to the client.
+// The message and the SQLSTATE that the client receives.
 std::string_view text_of(ClientError error);
 std::string_view sqlstate_of(ClientError error);
 
--- a/src/net/client_listener.cpp
+++ b/src/net/client_listener.cpp
@@ -48,7 +48,7 @@
     }
 }
 
-// False if no further one can be accepted in this pass.
+// Returns false if no further client can be accepted in this pass of the event loop.
 bool ClientListener::accept_client() {
     if (!owner_.has_room_for_client()) {
         pause_accepting();
@@ -71,7 +71,8 @@
     return false;
 }
 
-// With no descriptor left the listening socket stays ready: the loop would spin without the pause.
+// The listening socket stays readable while no descriptor is left: without this pause the event
+// loop would spin.
 void ClientListener::pause_accepting() {
     loop_.set_events(listening_.get(), 0);
     if (resume_accepting_timer_ != Timers::kNone) {
@@ -93,8 +94,8 @@
     connections_.each([](std::uint64_t, auto& connection) { connection->schedule_read(); });
 }
 
-// Bounds the memory of incomplete messages: hundreds of statements of the largest size, each
-// without its last byte, would take more than the process may use.
+// Limits the memory of incomplete messages: hundreds of clients that each send all but the last
+// byte of a statement of the largest size would exceed the memory limit of the process.
 void ClientListener::partial_message_changed(ClientId client) {
     if (auto* connection = connections_.find(client.value)) {
         const std::size_t bytes = (*connection)->partial_message_bytes();
@@ -106,7 +107,7 @@
     }
 }
 
-// Of the clients in the middle of a message: the one that has been for longest.
+// Rejects the client whose message has been incomplete for the longest time.
 void ClientListener::reject_longest_partial_message() {
     std::uint64_t longest = 0;
     for (const auto& [client, bytes] : partial_bytes_by_client_) {
@@ -121,8 +122,9 @@
     (*connections_.find(longest))->reject_partial_message();
 }
 
-// Callers that ask once and hold on would use up the connections that clients may have. Beyond a
-// number of them the longest idle are closed: those that ask again are seldom idle.
+// Clients that send one query and keep their connection open would use up the descriptors reserved
+// for clients. Above a maximum number of idle connections, those that have been idle for the
+// longest time are closed, because clients that still send queries are seldom idle for long.
 void ClientListener::close_excess_idle_later() {
     if (close_idle_timer_ != Timers::kNone || uses_.idle_count() <= owner_.max_idle_clients()) {
         return;
@@ -163,7 +165,8 @@
     return use != ClientUse::idle || (*connections_.find(client))->is_idle();
 }
 
-// Without this, clients that send nothing, or only half of a message, would keep all others out.
+// Closes a connection that is of little use. Without this, clients that send nothing, or only a
+// part of a message, would keep all others out.
 bool ClientListener::close_one_client(Seconds idle_for, ClientUse from) {
     const auto& candidates = uses_.candidates();
     for (auto it = candidates.lower_bound({from, 0, 0}); it != candidates.end(); ++it) {
@@ -178,10 +181,10 @@
     return false;
 }
 
-// A connection that waits to be accepted may carry a request, so all of them are accepted first.
-// An idle connection, with nothing unread, is closed whole: the client then learns that a query
-// which crosses the close was not read. If only one direction were closed, such a query would be
-// read and never answered.
+// Connections that wait in the backlog may already hold a request, so all of them are accepted
+// first. An idle connection with no unread input is closed in both directions: a client whose query
+// crosses the close then learns from the reset that the query was not read. If only one direction
+// were closed, such a query would be read and never answered.
 void ClientListener::shut_down(bool close_stalled) {
     if (!shutting_down_) {
         shutting_down_ = true;
--- a/src/net/client_listener.hpp
+++ b/src/net/client_listener.hpp
@@ -1,4 +1,4 @@
-// Accepts clients and keeps their connections within the limits of descriptors and memory.
+// Accepts clients and keeps their connections within the limits on descriptors and memory.
 #pragma once
 
 #include <cstddef>
@@ -13,43 +13,43 @@
 
 namespace tideline::net {
 
-// All calls come from the event loop's thread.
+// All calls must come from the event loop's thread.
 class ClientListener : public Watcher, ClientConnection::Owner {
   public:
     class Owner : public ClientRequestHandler {
       public:
-        // Whether another descriptor may be opened; may close connections to make room.
+        // Returns whether another descriptor may be opened; may close connections to make room.
         virtual bool has_room_for_client() = 0;
-        // How many clients may stay idle.
+        // Maximum number of idle client connections.
         virtual long max_idle_clients() = 0;
     };
 
-    // `longest_time_limit`: s, of all request classes; nobody waits longer than that. `owner`
-    // outlives the listener.
+    // `longest_time_limit` is the largest time limit of all request classes, in seconds: no client
+    // waits longer than that. `owner` must outlive the listener.
     ClientListener(EventLoop& loop, Owner& owner, Seconds longest_time_limit);
     ~ClientListener() override;
     ClientListener(const ClientListener&) = delete;
     ClientListener& operator=(const ClientListener&) = delete;
 
-    // False with errno set where the address can't be listened at.
+    // Starts to listen. Returns false, with errno set, if the address can't be listened at.
     bool listen(const Address& address);
-    // Writes the whole answer of the request that the client waits for, without ReadyForQuery.
-    // Nothing happens if the client has gone.
+    // Writes the complete answer to the request that the client waits for; `bytes` does not include
+    // ReadyForQuery. Does nothing if the client has disconnected.
     void answer(ClientId client, std::string_view bytes);
-    // Reads on at clients whose queries waited until this sidecar could serve.
+    // Resumes reading from clients whose queries waited until this sidecar could serve.
     void resume_waiting_clients();
-    // Closes one connection that is of no use, or has been idle for at least `idle_for` seconds.
-    // False if there is none.
+    // Closes one connection to make room: one that is silent or stuck in an incomplete message, or
+    // else one that has been idle for at least `idle_for` seconds. Returns false if there is none.
     bool close_one_client(Seconds idle_for) {
         return close_one_client(idle_for, ClientUse::silent);
     }
-    // Accepts no more clients; closes each as soon as it is between two requests. With
-    // `close_stalled` also those that are in the middle of sending a request.
+    // Stops accepting clients and closes each connection as soon as it is between two requests.
+    // With `close_stalled`, also closes connections that have sent only a part of a message.
     void shut_down(bool close_stalled);
     std::size_t size() const {
         return connections_.size();
     }
-    // Counts of clients and of errors by text, for the log.
+    // Counts of clients by use and of rejections by error, as fields of a log line.
     std::string report() const;
     void ready(short events) override;
 
@@ -84,8 +84,9 @@
     const Seconds longest_time_limit_;
     Slots<std::unique_ptr<ClientConnection>> connections_;
     ClientUseTable uses_;
-    std::map<std::uint64_t, std::size_t> partial_bytes_by_client_;  // by client
-    std::size_t partial_bytes_ = 0;                                 // of all clients
+    // Size of each client's incomplete message, in bytes.
+    std::map<std::uint64_t, std::size_t> partial_bytes_by_client_;
+    std::size_t partial_bytes_ = 0;  // sum over all clients
     std::map<ClientError, long> rejections_by_error_;
     long closed_for_room_ = 0;
     FileDescriptor listening_;
--- a/src/net/client_query.cpp
+++ b/src/net/client_query.cpp
@@ -11,7 +11,8 @@
 
 constexpr Seconds kSecondsPerMillisecond = 1e-3;
 
-// Milliseconds as a client writes them; nothing unless all of `text` is a finite number from 0 on.
+// Parses a number of milliseconds. Returns nothing unless all of `text` is a finite, non-negative
+// number.
 std::optional<double> read_milliseconds(std::string_view text) {
     double milliseconds = 0;
     const char* end = text.data() + text.size();
--- a/src/net/client_use_table.hpp
+++ b/src/net/client_use_table.hpp
@@ -1,5 +1,5 @@
-// What each client's connection is used for, and since when: tells which connections can be closed
-// to make room, in the order in which to close them.
+// Table of the current use of each client's connection and of the time since when it has had that
+// use. Gives the order in which connections are closed to make room.
 #pragma once
 
 #include <cstdint>
@@ -14,10 +14,10 @@
 
 class ClientUseTable {
   public:
-    // Use, since when (s), and the client's number.
+    // The use, the time since when it has lasted (s), and the client's number.
     using Candidate = std::tuple<ClientUse, Seconds, std::uint64_t>;
 
-    // The client is used so from `now` on.
+    // Records the use of the client's connection from `now` on.
     void set(ClientId client, ClientUse use, Seconds now) {
         erase(client);
         uses_[client.value] = {use, now};
@@ -36,7 +36,7 @@
         idle_count_ -= use == ClientUse::idle ? 1 : 0;
         uses_.erase(found);
     }
-    // Since when the client, which is in the table, has been used as it is now.
+    // The time since when the connection has had its current use. The client must be in the table.
     Seconds since(ClientId client) const {
         return uses_.at(client.value).second;
     }
@@ -50,14 +50,15 @@
         }
         return count;
     }
-    // Connections that are not needed, in the order in which to close them: silent ones first,
-    // then incomplete messages, then idle ones; the longest of each first.
+    // Connections that may be closed, in the order in which to close them: silent ones first, then
+    // those with an incomplete message, then idle ones; within each use, the longest-lasting first.
     const std::set<Candidate>& candidates() const {
         return candidates_;
     }
 
   private:
-    std::map<std::uint64_t, std::pair<ClientUse, Seconds>> uses_;  // by client; since when
+    // The use and the time since when it has lasted, by client.
+    std::map<std::uint64_t, std::pair<ClientUse, Seconds>> uses_;
     std::set<Candidate> candidates_;
     long idle_count_ = 0;
 };
--- a/src/net/clock_offset.hpp
+++ b/src/net/clock_offset.hpp
@@ -1,4 +1,4 @@
-// How far the wall clock is ahead of the steady clock.
+// Measures the offset between the wall clock and the steady clock.
 #pragma once
 
 #include <algorithm>
@@ -8,14 +8,17 @@
 
 namespace tideline::net {
 
-// Readings that are tried for one that nothing interrupted.
+// Maximum number of attempts to read both clocks without an interruption in between.
 constexpr int kMaxClockReadings = 32;
-// Two readings of one clock so close together, s, enclose one of the other well enough.
+// Two readings of the steady clock that are at most this far apart, in seconds, give the offset of
+// a wall clock reading between them with sufficient precision.
 constexpr Seconds kTightClockReadingThreshold = 20e-6;
 
-// The process may lose its core between reading one clock and the other: that would shift all its
-// times for good. So the reading that the steady clock encloses most tightly counts. Both arguments
-// are functions without arguments that return seconds.
+// Returns the wall clock's lead over the steady clock in seconds. If the process is preempted
+// between the two readings, the offset is wrong by the length of the interruption, and so is every
+// time derived from it. Therefore the wall clock is read between two readings of the steady clock,
+// several times, and the reading with the shortest gap is used. Both arguments are callables
+// without parameters that return seconds.
 template <class ReadSteady, class ReadWall>
 Seconds clock_offset(ReadSteady read_steady, ReadWall read_wall) {
     Seconds tightest = std::numeric_limits<Seconds>::infinity();
--- a/src/net/discovery_client.cpp
+++ b/src/net/discovery_client.cpp
@@ -19,8 +19,8 @@
     list_.advance_revision(EndpointList::revision_of(configured_list).value_or(0));
 }
 
-// A list that lagged, while another source passed on what it lacked, sends its old changes later:
-// applied then, they would undo newer ones.
+// A discovery service that lags behind may send old changes after newer ones were received from
+// another source. They are ignored: applied now, they would undo the newer ones.
 bool DiscoveryClient::apply_list(const json& list, bool from_configuration) {
     const auto revision = EndpointList::revision_of(list);
     if (revision && !owner_.takes_revision(*revision)) {
@@ -33,8 +33,8 @@
     return update.is_list && update.accepted;
 }
 
-// After a move the watch at the old address may report that nothing has changed while the new one
-// has changes to send, which count as notified. So the old one confirms nothing.
+// After a move, the watch at the old address confirms nothing: it may report no changes while the
+// new address has changes to send, which already count as notified.
 void DiscoveryClient::confirm_list(int watch_index, Seconds as_of) {
     const Seconds now = clock_now();
     if (moving_ && watch_index == current_) {
@@ -51,7 +51,8 @@
     last_confirmed_at_ = now;
 }
 
-// After a move the new watch has sent something: everything that the old one sent was read before.
+// Called when a watch has sent something. After a move, everything that the old watch had sent was
+// read before the new one is made current.
 void DiscoveryClient::make_current(int watch_index) {
     if (watch_index == current_) {
         return;
@@ -77,10 +78,10 @@
     watch_lost(watch_index, loss);
 }
 
-// Changes that came while no watch was open count as notified, so the watch names the last revision
-// known. An overloaded discovery service accepts a call and sends a heartbeat before it has handled
-// it; only once it would have sent a change is it known that nothing had changed when it accepted
-// the call.
+// The discovery protocol counts changes as notified even if they happened while no watch was open,
+// so the call names the last known revision. An overloaded discovery service accepts a call and
+// sends heartbeats before it handles the call. Only after the time within which it would have sent
+// a change is it certain that nothing had changed when the call was accepted.
 void DiscoveryClient::open_watch(int watch_index) {
     loop_.timers.cancel(retry_timer_);
     ++unanswered_calls_;
@@ -108,8 +109,9 @@
     open_watch(current_);
 }
 
-// Changes count as notified while no watch is open. So after a move the old watch stays until the
-// new one has sent something; the new one is opened beside it, again and again if it is lost.
+// Changes count as notified even while no watch is open. Therefore the old watch stays open after a
+// move until the new one has sent something; the new one is opened beside it and reopened whenever
+// it is lost.
 void DiscoveryClient::move(Address address, Seconds since) {
     if (address == address_) {
         return;
--- a/src/net/discovery_client.hpp
+++ b/src/net/discovery_client.hpp
@@ -1,4 +1,5 @@
-// Watches the endpoint list at discovery: passes on what comes, and reports when the watch is lost.
+// Watches the endpoint list at the discovery service: passes on each list and change, and reports
+// when the watch is lost.
 #pragma once
 
 #include <array>
@@ -14,31 +15,37 @@
 
 namespace tideline::net {
 
-// All calls come from the event loop's thread.
+// All calls must come from the event loop's thread.
 class DiscoveryClient {
   public:
     class Owner {
       public:
         virtual ~Owner() = default;
-        // `addresses` holds one for each line.
+        // A list or a change has arrived; `addresses` holds the address of each element of
+        // `endpoints`.
         virtual void endpoint_list_received(EndpointListKind kind,
                                             const std::vector<EndpointInfo>& endpoints,
                                             const std::vector<Address>& addresses) = 0;
-        // All changes until `as_of` have been passed on.
+        // The list is known to be current as of `as_of`: every change until then has been passed
+        // on.
         virtual void endpoint_list_confirmed(Seconds as_of) = 0;
-        // A change has begun to arrive; `since` is the earliest time at which it may have come.
+        // A change has begun to arrive and can't be read yet; it arrived no earlier than `since`.
         virtual void endpoint_list_unreadable(Seconds since) = 0;
-        // The list is watched at another address from now on, no earlier than `since`.
+        // The discovery service moved to another address, no earlier than `since`.
         virtual void discovery_moved(Seconds since) = 0;
-        // The owner decides when to call follow() again. `details`: fields for the log.
+        // The watch was lost. The owner decides when to call follow() again. `details` holds fields
+        // for the log.
         virtual void watch_lost(Seconds since, WatchLoss loss, const std::string& details) = 0;
-        // `details`: fields for the log.
+        // The list was confirmed again after one or more lost watches. `details` holds fields for
+        // the log.
         virtual void watch_restored(const std::string& details) = 0;
-        // False for a revision older than one that was received since.
+        // Returns false for a revision that is older than one that was received from another
+        // source.
         virtual bool takes_revision(std::int64_t revision) = 0;
     };
 
-    // `settings` and `owner` outlive the client. `configured_list`: the list in the configuration.
+    // `settings` and `owner` must outlive the client. `configured_list` is the endpoint list in the
+    // configuration.
     DiscoveryClient(EventLoop& loop, Owner& owner, const Settings& settings, Address address,
                     const nlohmann::json& configured_list);
     ~DiscoveryClient() {
@@ -47,21 +54,22 @@
     DiscoveryClient(const DiscoveryClient&) = delete;
     DiscoveryClient& operator=(const DiscoveryClient&) = delete;
 
-    // Passes on the list in the configuration.
+    // Passes on the endpoint list in the configuration.
     void begin(const nlohmann::json& configured_list) {
         apply_list(configured_list, true);
     }
     // Opens the watch.
     void follow();
-    // The list's own numbering of its states; 0 if none has come.
+    // The newest revision of the endpoint list that was received; 0 if there is none.
     std::int64_t revision() const {
         return list_.revision();
     }
-    // The list up to this revision came from another source than discovery.
+    // Records that the list up to this revision was received from another source than discovery.
     void advance_revision(std::int64_t revision) {
         list_.advance_revision(revision);
     }
-    // Discovery is at another address, no earlier than `since`; the watch goes over without a gap.
+    // Moves to another address of the discovery service, which took effect no earlier than `since`.
+    // The old watch stays open until the new one has sent something, so that no change is lost.
     void move(Address address, Seconds since);
 
   private:
@@ -69,22 +77,22 @@
     void object_received(int watch_index, const std::string& text);
     void watch_lost(int watch_index, const CallLoss& loss);
     void report_loss(const CallLoss& loss);
-    // From now on this watch is the current one.
+    // Makes this watch the current one and drops the other.
     void make_current(int watch_index);
     void confirm_list(int watch_index, Seconds as_of);
-    // False if the list has to be requested again.
+    // Applies a list. Returns false if the list has to be requested again.
     bool apply_list(const nlohmann::json& list, bool from_configuration);
 
     EventLoop& loop_;
     Owner& owner_;
     EndpointList list_;
     Address address_;
-    // The current watch, and after a move the one that is to follow it.
+    // The current watch and, after a move, the one that is about to replace it.
     std::array<HttpStreamCall, 2> watches_;
     int current_ = 0;
-    bool moving_ = false;  // the current watch is at the old address
+    bool moving_ = false;  // the current watch is still at the old address
     Seconds backoff_ = kInitialReconnectBackoff;
-    int unanswered_calls_ = 0;  // in a row
+    int unanswered_calls_ = 0;  // consecutive calls without a confirmation
     Seconds last_call_at_ = 0;
     const Seconds started_at_;
     std::optional<Seconds> last_confirmed_at_;
--- a/src/net/endpoint_connection.cpp
+++ b/src/net/endpoint_connection.cpp
@@ -9,9 +9,9 @@
 namespace tideline::net {
 namespace {
 
-// SQLSTATE of an endpoint that has too much to do.
+// SQLSTATE with which an overloaded endpoint rejects a statement.
 constexpr std::string_view kOverloadedSqlstate = "53300";
-// The parameter in which endpoints report their load.
+// Name of the parameter in which endpoints report their load.
 constexpr std::string_view kLoadParameter = "vitals";
 
 }  // namespace
@@ -37,9 +37,9 @@
     put(pg::startup("svc", "main"));
 }
 
-// Nothing in a row names its request, so a message that comes unasked, such as a duplicate answer,
-// would be taken for the answer to the next statement. It ends the connection in whatever state,
-// but behind an answer that is held: there it is the response to the statement under way.
+// A row does not identify its request, so an unsolicited message, such as a duplicate answer, would
+// be taken for the answer to the next statement. Therefore it ends the connection in any state. The
+// exception is a message that follows a held answer: that is the response to the current statement.
 void EndpointConnection::on_received() {
     while (!closed() && !in_.empty()) {
         if (state_ == State::idle && holds_answer_) {
@@ -59,7 +59,7 @@
     }
 }
 
-// The response is read whole, and perhaps more.
+// Called when the response has been read completely; further bytes may follow it.
 void EndpointConnection::finish_response() {
     state_ = State::idle;
     acknowledge_at_once();
@@ -75,8 +75,8 @@
     owner_.connection_free(number_);
 }
 
-// What was held was a duplicate of the answer before: the endpoint answers in order. No further
-// statement is sent on this connection.
+// Endpoints answer in order, so a response that follows a held answer shows that the held one was a
+// duplicate of the previous answer. No further statement is sent on this connection.
 void EndpointConnection::replace_held_answer() {
     holds_answer_ = false;
     last_response_ = true;
@@ -110,7 +110,7 @@
     return Step::handled;
 }
 
-// A statement may have run only if its last byte was written.
+// The endpoint can have run the statement only if its last byte was written.
 void EndpointConnection::on_closed() {
     const bool written = exchange_ != 0 && all_written();
     owner_.connection_failed(number_, written ? Outcome::broken : Outcome::unreachable);
@@ -120,8 +120,9 @@
     owner_.connection_failed(number_, Outcome::malformed);
 }
 
-// Whether the first bytes can begin the next message. Checked before the message is whole: an
-// answer whose length is given as 3 GB would be waited for in vain.
+// Returns whether the first bytes can begin the next message. This is checked before the message is
+// complete: otherwise the connection would wait in vain for a message with a bogus length of, say,
+// 3 GB.
 bool EndpointConnection::can_begin_next(std::string_view bytes) const {
     const char type = bytes[0];
     const bool short_enough = pg::within(bytes, kMaxNoticeBytes);
@@ -147,7 +148,7 @@
     }
 }
 
-// False if the message is malformed.
+// Returns false if the message is malformed.
 bool EndpointConnection::handle_message(char type, std::string_view body,
                                         std::string_view message) {
     switch (type) {
@@ -185,7 +186,8 @@
     }
 }
 
-// An unreadable parameter costs the connection, not the answer that it came with.
+// A malformed parameter ends the connection after the response, but the answer itself is still
+// used.
 void EndpointConnection::handle_parameter(std::string_view body) {
     const auto parameter = pg::parameter(body);
     if (!parameter) {
@@ -214,8 +216,9 @@
     return true;
 }
 
-// An answer that equals the one before it on this connection may be a duplicate of that, which came
-// after the next statement was written. It is held, unless endpoints are known to repeat it.
+// An answer that equals the previous one on this connection may be a duplicate of it that arrived
+// after the next statement was written. It is held, unless endpoints are known to repeat this
+// answer.
 void EndpointConnection::complete_answer() {
     const AnswerDigest digest = digest_of(answer_);
     const bool may_be_duplicate =
--- a/src/net/endpoint_connection.hpp
+++ b/src/net/endpoint_connection.hpp
@@ -1,5 +1,5 @@
-// One connection to an endpoint: sends one statement at a time and reads its answer. Ends as soon
-// as something comes that can't be part of the answer.
+// A connection to an endpoint. It sends one statement at a time and reads the answer. It is closed
+// as soon as bytes arrive that can't be part of the answer.
 #pragma once
 
 #include <cstdint>
@@ -15,44 +15,45 @@
 
 class EndpointConnection : public TcpConnection {
   public:
-    // The pool that keeps the connection. Called from the event loop only.
+    // The pool that owns the connection. Called only from the event loop's thread.
     class Owner {
       public:
         virtual ~Owner() = default;
-        // The exchange has its outcome; `answer` is empty unless it succeeded. The connection may
-        // still have to read the end of the response.
+        // The outcome of the exchange is known; `answer` is empty unless it succeeded. The end of
+        // the response may still have to be read.
         virtual void exchange_ended(std::uint64_t exchange, Outcome outcome, const LoadReport& load,
                                     std::string_view answer) = 0;
-        // The connection has come up, or its response has been read whole.
+        // The connection is established, or the response has been read completely.
         virtual void connection_free(std::uint64_t connection) = 0;
-        // Whether endpoints are known to give this answer more than once in a row.
+        // Returns whether endpoints are known to give this answer several times in a row.
         virtual bool is_repeated(AnswerDigest digest) const = 0;
-        // The answer under way equals the one before it, and may be its duplicate: it is held until
-        // the connection is told to deliver it, or another response takes its place.
+        // The answer to the current statement equals the previous answer on this connection, so it
+        // may be a duplicate of that. It is held until the owner calls deliver_held_answer(), or
+        // until another response arrives and replaces it.
         virtual void answer_held(std::uint64_t connection) = 0;
-        // The connection is of no further use; the exchange on it, if any, ended with `outcome`.
+        // The connection can't be used any more. The exchange on it, if any, ended with `outcome`.
         virtual void connection_failed(std::uint64_t connection, Outcome outcome) = 0;
     };
 
-    // `number`: by which the owner knows the connection.
+    // `number` identifies the connection to the owner.
     EndpointConnection(EventLoop& loop, Owner& owner, std::uint64_t number);
 
-    // Sends the statement; the connection has to be clean.
+    // Sends the statement. The connection must be reusable.
     void send(std::uint64_t exchange, std::string_view statement);
-    // Whether the startup is through.
+    // Returns whether the startup has been completed.
     bool started() const {
         return state_ != State::starting;
     }
-    // Ends the exchange under way with the answer that is held. Returns its digest.
+    // Ends the current exchange with the answer that is held. Returns the digest of that answer.
     AnswerDigest deliver_held_answer();
-    // Whether it can take a statement: nothing is under way, unread, or unwritten, and the peer has
-    // not closed it.
+    // Returns whether a statement can be sent: no exchange is in progress, nothing is unread or
+    // unwritten, and the peer has not closed the connection.
     bool is_reusable();
-    // The exchange under way; 0: none.
+    // The exchange in progress; 0 if there is none.
     std::uint64_t exchange() const {
         return exchange_;
     }
-    // Forgets the exchange under way without reporting it, and returns it.
+    // Detaches the exchange in progress without reporting an outcome, and returns it.
     std::uint64_t detach_exchange() {
         return std::exchange(exchange_, 0);
     }
@@ -63,7 +64,7 @@
     void on_closed() override;
 
   private:
-    // What has been read of the response last.
+    // The last part of the response that has been read.
     enum class State { starting, idle, sent, row_description, row, completed, ready };
     enum class Step { incomplete, handled, malformed };
     Step read_message();
@@ -81,10 +82,10 @@
     const std::uint64_t number_;
     std::uint64_t exchange_ = 0;
     State state_ = State::starting;
-    bool last_response_ = false;  // after this response it serves no further exchange
-    // Of the answer before the one under way; nothing before the first.
+    bool last_response_ = false;  // no further statement is sent after this response
+    // Digest of the previous answer on this connection; nothing before the first answer.
     std::optional<AnswerDigest> previous_answer_;
-    // The answer under way may be a duplicate of the one before: see Owner::answer_held.
+    // The current answer may be a duplicate of the previous one: see Owner::answer_held.
     bool holds_answer_ = false;
     LoadReport load_;
     std::string answer_;
--- a/src/net/endpoint_list.cpp
+++ b/src/net/endpoint_list.cpp
@@ -16,7 +16,7 @@
     {"Terminating", EndpointState::draining},
     {"Gone", EndpointState::removed}};
 
-// The position of a name in a list of the settings; 0 where it is not in it.
+// Returns the index of a name in a list of the settings; 0 if the list does not contain it.
 int index_in_settings(const Settings& settings, const std::string& list, const json& name) {
     for (int i = 0; name.is_string(); ++i) {
         const auto it = settings.find(list + "." + std::to_string(i));
@@ -33,7 +33,7 @@
     const auto it = entry.find(name);
     return it == entry.end() ? nullptr : &*it;
 }
-// A whole number in a field that may be missing; false if it is none, or out of range.
+// Reads an optional integer field. Returns false if the field is not an integer or out of range.
 bool read_integer(const json& entry, const char* name, int min_value, int& value) {
     const json* value_field = field(entry, name);
     if (!value_field) {
@@ -67,9 +67,10 @@
 
 }  // namespace
 
-// False if the entry is malformed. Then `current` is what was known before, in the state that the
-// entry gives if it gives one: otherwise an endpoint whose entry can't be read would count as gone,
-// or would get requests though it drains.
+// Parses an entry. Returns false if it is malformed; `current` then holds the previous data of the
+// endpoint, with the phase of the entry if that is readable and ends the endpoint. Otherwise an
+// endpoint with a malformed entry would count as gone, or would get requests although it is
+// draining.
 bool EndpointList::read_entry(const json& entry, const KnownEndpoint* previous,
                               KnownEndpoint& current) const {
     const json* phase = field(entry, "phase");
@@ -108,7 +109,7 @@
     return false;
 }
 
-// Ids of endpoints don't return, so of those that are gone only the last are remembered.
+// Ids of endpoints are not reused, so only the last of the removed ones are remembered.
 void EndpointList::store_endpoint(const KnownEndpoint& current) {
     const EndpointId& endpoint = current.info.id;
     const auto previous = known_.find(endpoint);
@@ -155,9 +156,10 @@
     update.kind = kind_of(list, from_configuration);
 
     Entries entries = read_entries(*members, revision);
-    // A change that could not be read counts as notified, so it is requested again from the state
-    // before it. If the same comes once more there is nothing to wait for, and the rest of the list
-    // may not be requested for ever.
+    // A malformed change counts as notified all the same, so it is requested again from the
+    // previous revision. If the same malformed entries arrive once more, a further request would
+    // not help: the rest of the list is then accepted, because otherwise it would be requested
+    // forever.
     const bool repeated = !entries.unreadable.empty() && entries.unreadable == previous_unreadable_;
     if (repeated) {
         drain_unknown_phases(entries);
@@ -217,8 +219,9 @@
     return entries;
 }
 
-// A list that lags behind what was received, as after a move to another address, would bring back
-// an endpoint that drains or is gone. Only another start or build makes it another endpoint.
+// A list that lags behind, for example after a move to another address, would turn a draining or
+// removed endpoint back into a ready one. An endpoint counts as a new process only if its start
+// time or build differs.
 void EndpointList::keep_newer_state(const KnownEndpoint& previous, KnownEndpoint& current) {
     const bool same_process =
         current.info.started == previous.info.started && current.info.build == previous.info.build;
@@ -227,8 +230,8 @@
     }
 }
 
-// The present phase of these endpoints was sent and can't be known, not by asking again either.
-// They may drain, so they are taken to.
+// The current phase of these endpoints was sent but is unreadable, and another request would not
+// change that. They may be draining, so they are treated as draining.
 void EndpointList::drain_unknown_phases(Entries& entries) {
     for (const EndpointId& endpoint : entries.phase_unknown) {
         EndpointState& state = entries.endpoints.at(endpoint).info.state;
@@ -238,7 +241,7 @@
     }
 }
 
-// What a complete list leaves out is gone.
+// Marks endpoints that a complete list does not contain as removed.
 void EndpointList::remove_missing(const Entries& entries) {
     std::vector<KnownEndpoint> missing;
     for (const auto& [endpoint, known] : known_) {
--- a/src/net/endpoint_list.hpp
+++ b/src/net/endpoint_list.hpp
@@ -1,5 +1,5 @@
-// The endpoint list as discovery has sent it so far, and what a further message changes in it.
-// Takes JSON; does no I/O and knows no clock.
+// The endpoint list as received from discovery so far. Computes what a further message changes in
+// it. Takes JSON; performs no I/O and reads no clock.
 #pragma once
 
 #include <cstdint>
@@ -15,30 +15,31 @@
 
 namespace tideline::net {
 
-// What one message of discovery changes.
+// The changes that one message of discovery makes.
 struct EndpointListUpdate {
-    bool is_list = false;  // false: the message is no list, and changes nothing
-    bool accepted = true;  // false: an entry was malformed, and the state before it has to be
-                           // requested again
+    bool is_list = false;  // false: the message is not a list and changes nothing
+    // False if an entry was malformed, so that the list has to be requested again from the previous
+    // revision.
+    bool accepted = true;
     EndpointListKind kind = EndpointListKind::changes;
     std::vector<EndpointInfo> endpoints;
-    std::vector<Address> addresses;  // one for each line
+    std::vector<Address> addresses;  // the address of each element of `endpoints`
 };
 
 class EndpointList {
   public:
-    // `settings` holds the names of locations and kinds, and outlives the list.
+    // `settings` holds the names of locations and kinds and must outlive the list.
     explicit EndpointList(const Settings& settings) : settings_(settings) {}
 
-    // The revision that a list gives itself; nothing if it gives none.
+    // The revision that a list states; nothing if it states none.
     static std::optional<std::int64_t> revision_of(const nlohmann::json& list);
-    // `from_configuration`: the copy that the sidecar starts with.
+    // Applies a list. `from_configuration` is set for the copy in the sidecar's configuration.
     EndpointListUpdate read(const nlohmann::json& list, bool from_configuration);
-    // The revision that a watch asks to go on from; 0 if none has come.
+    // The revision from which a watch has to continue; 0 if no list has been received.
     std::int64_t revision() const {
         return revision_;
     }
-    // Everything up to this revision came from another source.
+    // Records that everything up to this revision was received from another source.
     void advance_revision(std::int64_t revision);
 
   private:
@@ -46,11 +47,11 @@
         EndpointInfo info;
         Address address;
     };
-    // One message, read.
+    // The parsed entries of one message.
     struct Entries {
         std::map<EndpointId, KnownEndpoint> endpoints;
-        std::set<EndpointId> phase_unknown;  // known endpoints whose phase can't be read
-        std::string unreadable;              // the malformed entries as they came
+        std::set<EndpointId> phase_unknown;  // known endpoints whose phase was unreadable
+        std::string unreadable;              // the text of all malformed entries
     };
     static EndpointListKind kind_of(const nlohmann::json& list, bool from_configuration);
     Entries read_entries(const nlohmann::json& members, std::int64_t revision) const;
@@ -63,10 +64,10 @@
 
     const Settings& settings_;
     std::int64_t revision_ = 0;
-    std::int64_t newest_revision_ = 0;  // of all sources
+    std::int64_t newest_revision_ = 0;  // newest revision from any source
     std::map<EndpointId, KnownEndpoint> known_;
-    std::deque<EndpointId> removed_ids_;  // oldest first
-    std::string previous_unreadable_;     // of the message before
+    std::deque<EndpointId> removed_ids_;  // ids of removed endpoints, oldest first
+    std::string previous_unreadable_;     // malformed entries of the previous message
 };
 
 }  // namespace tideline::net
--- a/src/net/endpoint_pool.cpp
+++ b/src/net/endpoint_pool.cpp
@@ -42,8 +42,8 @@
             open_connections_for_waiting(id, endpoint);
         }
     }
-    // Ids of endpoints don't return, so the table would grow without bound: what is no longer
-    // listed is forgotten with its last connection.
+    // Ids of endpoints are not reused, so the table would grow without limit. An endpoint that is
+    // no longer listed is removed together with its last connection.
     std::erase_if(endpoints_, [](const auto& entry) {
         const Endpoint& endpoint = entry.second;
         return !endpoint.listed && endpoint.waiting.empty() && endpoint.connection_count == 0;
@@ -153,7 +153,7 @@
     }
 }
 
-// A statement that was not written whole never ran.
+// An endpoint can't have run a statement that was not written completely.
 void EndpointPool::time_out_exchange(std::uint64_t number) {
     Exchange* exchange = exchanges_.find(number);
     if (exchange == nullptr) {
@@ -174,9 +174,9 @@
     exchange_ended(number, outcome, {}, {});
 }
 
-// While an attempt waits for a connection its endpoint may begin to drain, or the cap of its build
-// may fall. So the routing policy is asked again; what may no longer go out ends as never sent,
-// reported from the loop.
+// While an attempt waits for a connection, its endpoint may start to drain, or the exposure cap of
+// its build may be lowered. So the routing policy is asked again. An attempt that may no longer be
+// sent ends as never sent; this is reported from the event loop.
 void EndpointPool::recall_waiting_exchanges(Endpoint& endpoint) {
     std::erase_if(endpoint.waiting, [&](std::uint64_t number) {
         const Exchange& exchange = *exchanges_.find(number);
@@ -203,8 +203,8 @@
 
 // --- Connections
 
-// Connections in their quiet time are counted on: they are free sooner than a new one would be up,
-// and spare the endpoint a handshake.
+// Connections in their quiet window count as available: they are free sooner than a new connection
+// would be established, and using them spares the endpoint a handshake.
 void EndpointPool::open_connections_for_waiting(const EndpointId& id, Endpoint& endpoint) {
     while (endpoint.opening + endpoint.quiet < static_cast<int>(endpoint.waiting.size())) {
         open_connection(id, endpoint);
@@ -245,9 +245,9 @@
     connections_.remove(number);
 }
 
-// After an answer the connection has a quiet time: a duplicate answer may come some milliseconds
-// behind the first and would be taken for the answer to the next statement. Whatever comes in that
-// time ends the connection.
+// After an answer, a connection is not used for a short quiet window: a duplicate of the answer may
+// arrive some milliseconds later and would be taken for the answer to the next statement. Any bytes
+// that arrive in that window end the connection.
 void EndpointPool::connection_free(std::uint64_t number) {
     PooledConnection& connection = **connections_.find(number);
     Endpoint& endpoint = endpoints_[connection.endpoint];
@@ -264,7 +264,7 @@
     reuse_connection(number);
 }
 
-// The endpoint may be about to answer: what comes now takes the place of the held answer.
+// Delivers the held answer after a delay. A response that arrives before that replaces it.
 void EndpointPool::answer_held(std::uint64_t number) {
     PooledConnection& connection = **connections_.find(number);
     const Seconds now = clock_now();
@@ -279,7 +279,7 @@
     PooledConnection& connection = **connections_.find(number);
     connection.timer = Timers::kNone;
     if (!connection.link->is_reusable()) {
-        return;  // something is there to be read
+        return;  // input has arrived and is read first
     }
     repeated_answers_.add(connection.link->deliver_held_answer());
     if (connections_.find(number)) {
@@ -287,7 +287,7 @@
     }
 }
 
-// Gives the connection to the exchange that has waited for longest, or keeps it as idle.
+// Assigns the connection to the exchange that has waited for the longest time, or keeps it as idle.
 void EndpointPool::reuse_connection(std::uint64_t number) {
     PooledConnection& connection = **connections_.find(number);
     const EndpointId id = connection.endpoint;
@@ -327,10 +327,10 @@
     }
     Endpoint& endpoint = endpoints_[id];
     if (!was_opening) {
-        return open_connections_for_waiting(id,
-                                            endpoint);  // a waiting exchange may have counted on it
+        // A waiting exchange may have relied on this connection.
+        return open_connections_for_waiting(id, endpoint);
     }
-    // One of the waiting exchanges loses the connection that it counted on.
+    // One of the waiting exchanges relied on this connection.
     if (static_cast<int>(endpoint.waiting.size()) <= endpoint.opening + endpoint.quiet) {
         return;
     }
--- a/src/net/endpoint_pool.hpp
+++ b/src/net/endpoint_pool.hpp
@@ -1,5 +1,5 @@
-// Pooled connections to the endpoints. Each serves one exchange at a time: an attempt of a request,
-// or a health check.
+// Pool of connections to the endpoints. Each connection serves one exchange at a time: an attempt
+// of a request, or a health check.
 #pragma once
 
 #include <cstdint>
@@ -16,17 +16,17 @@
 
 namespace tideline::net {
 
-// All calls come from the event loop's thread.
+// All calls must come from the event loop's thread.
 class EndpointPool : EndpointConnection::Owner {
   public:
     class Owner {
       public:
         virtual ~Owner() = default;
-        // Whether another descriptor may be opened; may close connections to make room.
+        // Returns whether another descriptor may be opened; may close connections to make room.
         virtual bool has_room_for_connection() = 0;
-        // The statement with the time that is left until `stop_at`.
+        // The statement of the request, with the time that is left until `stop_at` as its budget.
         virtual std::string statement_for(RequestId request, Seconds stop_at) = 0;
-        // Whether an attempt that waited for a connection may still go out.
+        // Returns whether an attempt that waited for a connection may still be sent.
         virtual bool may_still_send(RequestId request, AttemptNumber number) = 0;
         virtual void attempt_ended(RequestId request, AttemptNumber number,
                                    const EndpointId& endpoint, Outcome outcome, Seconds took,
@@ -35,23 +35,26 @@
                                         const LoadReport& load) = 0;
     };
 
-    // `connect_timeout`: s, for a connection and for a health check. `idle_timeout`: s, after which
-    // endpoints close an idle connection. `owner` outlives the pool.
+    // `connect_timeout` limits, in seconds, the time to open a connection and the time of a health
+    // check. `idle_timeout` is the time, in seconds, after which endpoints close an idle
+    // connection. `owner` must outlive the pool.
     EndpointPool(EventLoop& loop, Owner& owner, Seconds connect_timeout, Seconds idle_timeout);
     ~EndpointPool() override;
     EndpointPool(const EndpointPool&) = delete;
     EndpointPool& operator=(const EndpointPool&) = delete;
 
-    // Applies a list; `addresses` holds one for each line.
+    // Applies an endpoint list; `addresses` holds the address of each element of `endpoints`.
     void apply_list(EndpointListKind kind, const std::vector<EndpointInfo>& endpoints,
                     const std::vector<Address>& addresses);
-    // Asks again whether attempts that wait for a connection may still go out.
+    // Asks the owner again about all exchanges that wait for a connection, and ends those that may
+    // no longer be sent.
     void review_waiting_exchanges();
-    // Both begin at once; the outcome is reported from the loop, never within the call.
+    // Sends an attempt. The outcome is reported from the event loop, never within the call.
     void attempt(RequestId request, AttemptNumber number, const EndpointId& endpoint,
                  Seconds stop_at);
+    // Sends a health check. The outcome is reported from the event loop, never within the call.
     void begin_health_check(const EndpointId& endpoint);
-    // Closes the connection that has been idle for longest; false if there is none.
+    // Closes the connection that has been idle for the longest time. Returns false if none is idle.
     bool close_idle_connection();
     std::size_t connection_count() const {
         return connections_.size();
@@ -59,12 +62,12 @@
 
   private:
     struct Exchange {
-        std::optional<RequestId> request;  // none: a health check
+        std::optional<RequestId> request;  // nothing for a health check
         AttemptNumber number;
         EndpointId endpoint;
         Seconds began = 0;
         Seconds stop_at = 0;
-        std::uint64_t connection = 0;  // 0: it waits for one
+        std::uint64_t connection = 0;  // 0 while the exchange waits for a connection
         Timers::Id timer = Timers::kNone;
     };
     struct Endpoint {
@@ -72,19 +75,19 @@
         Build build;
         Seconds started = 0;
         bool listed = false;
-        // Counts how often address, build or start changed: a connection of an earlier generation
-        // is not used.
+        // Incremented whenever address, build or start time changes. A connection of an earlier
+        // generation is not used any more.
         int generation = 0;
-        std::deque<std::uint64_t> waiting;  // exchanges
-        std::deque<std::uint64_t> idle;     // connections, the one used last at the back
-        int opening = 0;                    // connections that are not up yet
-        int quiet = 0;                      // connections in their quiet time
+        std::deque<std::uint64_t> waiting;  // exchanges that wait for a connection
+        std::deque<std::uint64_t> idle;     // idle connections, the most recently used at the back
+        int opening = 0;                    // number of connections that are not established yet
+        int quiet = 0;                      // number of connections in their quiet window
         int connection_count = 0;
     };
 
     struct PooledConnection {
         EndpointId endpoint;
-        int generation = 0;   // of the endpoint when the connection was opened
+        int generation = 0;   // generation of the endpoint when the connection was opened
         bool opening = true;  // counted in Endpoint::opening
         bool quiet = false;   // counted in Endpoint::quiet
         Seconds idle_since = 0;
@@ -122,7 +125,7 @@
     std::map<EndpointId, Endpoint> endpoints_;
     Slots<Exchange> exchanges_;
     RepeatedAnswers repeated_answers_;
-    // On the heap, so that references stay valid while others are added.
+    // Allocated separately, so that references stay valid while connections are added.
     Slots<std::unique_ptr<PooledConnection>> connections_;
 };
 
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -63,8 +63,8 @@
     const Seconds begun = clock_now();
     const Seconds wait = timers.next() - begun;
     const int ms = wait <= 0 ? 0 : static_cast<int>(std::ceil(std::min(wait, 1.0) * 1e3));
-    const int count =
-        ::poll(polled_.data(), polled_.size(), ms);  // EINTR: nothing was ready, next pass
+    // After EINTR nothing is ready, and the next pass polls again.
+    const int count = ::poll(polled_.data(), polled_.size(), ms);
     const Seconds polled_at = clock_now();
     arrived_after_ = std::exchange(polled_at_, polled_at);
     if (count > 0) {
@@ -80,8 +80,8 @@
                     {polled.fd, polled.revents, watched_[static_cast<std::size_t>(polled.fd)].use});
             }
         }
-        // A process that was suspended finds its clients' requests beside the updates that came
-        // meanwhile. A request that is read first would be routed by outdated information.
+        // A process that was suspended finds the requests of its clients beside list changes that
+        // arrived meanwhile. A request that is read first would be routed by an outdated list.
         std::stable_partition(ready.begin(), ready.end(), [&](const Ready& descriptor) {
             const WatchedDescriptor& watched = watched_[static_cast<std::size_t>(descriptor.fd)];
             return watched.watcher != nullptr && watched.watcher->is_urgent();
@@ -93,8 +93,9 @@
             }
         }
     }
-    // A process that is suspended right here finds all deadlines over before it has read what came
-    // meanwhile. Then the timers wait for one more look at the descriptors.
+    // A process that is suspended at this point finds its deadlines expired before it has read the
+    // input that arrived meanwhile. In that case the timers run only after the descriptors have
+    // been polled once more.
     const Seconds now = clock_now();
     const bool late = now > polled_at + kSuspensionThreshold ||
                       polled_at > begun + ms * 1e-3 + kSuspensionThreshold;
--- a/src/net/event_loop.hpp
+++ b/src/net/event_loop.hpp
@@ -1,6 +1,6 @@
-// The poll(2) loop: waits until a descriptor is ready or a timer is due. Reads what has arrived
-// before it runs timers, so that a pass that came late does not take its own delay for a peer's
-// silence. One thread runs the loop and makes all calls to it.
+// Event loop based on poll(2): waits until a descriptor is ready or a timer is due. It reads all
+// input that has arrived before it runs timers, so that a pass that starts late does not take its
+// own delay for a peer's silence. One thread runs the loop and makes all calls to it.
 #pragma once
 
 #include <poll.h>
@@ -13,44 +13,46 @@
 
 namespace tideline::net {
 
-// Owner of a watched descriptor.
+// Receives the events of a watched descriptor.
 class Watcher {
   public:
     virtual ~Watcher() = default;
-    // `events`: of poll(2).
+    // Handles the events that poll(2) reported.
     virtual void ready(short events) = 0;
-    // Whether it is read before others that are ready in the same pass.
+    // Returns whether this descriptor is handled before others that are ready in the same pass.
     virtual bool is_urgent() const {
         return false;
     }
 };
 
-// Unix time in seconds, read at the start and carried on by a monotonic clock.
+// Unix time in seconds: the wall clock is read once at the start of the process and advanced by the
+// steady clock.
 Seconds clock_now();
 // Unix time in seconds by the wall clock, which may be set while the process runs.
 Seconds wall_time();
 
 class EventLoop {
   public:
-    // Watches the descriptor for `events` of poll(2) until unwatch(). `watcher` outlives that.
+    // Watches the descriptor for the given poll(2) events until unwatch() is called. `watcher` must
+    // live that long.
     void watch(int fd, Watcher* watcher, short events);
-    // Changes the events that a watched descriptor is watched for.
+    // Changes the events for which a watched descriptor is polled.
     void set_events(int fd, short events);
-    // Safe while a pass is under way.
+    // Stops watching the descriptor. May be called during a pass.
     void unwatch(int fd);
-    // Waits, for a second at most, and handles what is ready or due.
+    // Runs one pass: waits for one second at most and handles everything that is ready or due.
     void pass();
-    // Keeps the object until the end of the pass, when nothing can refer to it any more.
+    // Destroys the object at the end of the pass, when nothing can refer to it any more.
     void destroy_after_pass(std::unique_ptr<Watcher> ended) {
         destroyed_after_pass_.push_back(std::move(ended));
     }
-    // Everything that is read in this pass arrived later than that: the pass before had found all
-    // that was there by then. The time of reading says less: a process may be suspended between any
-    // two steps, and then finds what is seconds old beside what is new.
+    // Everything that is read in this pass arrived after this time, at which the previous pass had
+    // found all earlier input. The time of reading is no substitute: a process may be suspended
+    // between any two steps and then finds input that is seconds old beside new input.
     Seconds arrived_after() const {
         return arrived_after_;
     }
-    // Descriptors that are watched, now and at most so far.
+    // Number of watched descriptors: the current one, and the highest since the start.
     std::size_t watched_count() const {
         return polled_.size();
     }
@@ -63,8 +65,9 @@
   private:
     struct WatchedDescriptor {
         Watcher* watcher = nullptr;  // null: the descriptor is not watched
-        std::size_t index = 0;       // in polled_
-        std::uint64_t use = 0;       // tells one use of a descriptor from the next
+        std::size_t index = 0;       // index in polled_
+        // Serial number that distinguishes successive uses of a descriptor.
+        std::uint64_t use = 0;
     };
     std::vector<pollfd> polled_;
     std::vector<WatchedDescriptor> watched_;  // by descriptor
--- a/src/net/file_descriptor.hpp
+++ b/src/net/file_descriptor.hpp
@@ -1,4 +1,4 @@
-// Owner of one file descriptor: closes it at the end of its life. Not thread-safe.
+// Owns a file descriptor and closes it when destroyed. Not thread-safe.
 #pragma once
 
 #include <unistd.h>
@@ -23,18 +23,18 @@
         reset();
     }
 
-    // The descriptor itself, or -1; ownership stays here.
+    // Returns the descriptor, or -1 if there is none. Keeps the ownership.
     int get() const {
         return fd_;
     }
     bool valid() const {
         return fd_ >= 0;
     }
-    // Gives up ownership.
+    // Returns the descriptor and gives up its ownership.
     int release() {
         return std::exchange(fd_, -1);
     }
-    // Closes the present descriptor and takes ownership of `fd`.
+    // Closes the current descriptor and takes ownership of `fd`.
     void reset(int fd = -1) {
         const int closing = std::exchange(fd_, fd);
         if (closing >= 0) {
--- a/src/net/http_reader.cpp
+++ b/src/net/http_reader.cpp
@@ -40,7 +40,7 @@
 }
 
 bool HttpReader::parse_head(std::string_view head, Handler& handler) {
-    // HTTP/1.1 200 OK
+    // The status line, for example "HTTP/1.1 200 OK".
     unsigned long long status = 0;
     if (!head.starts_with(kVersion) || head.size() < 12 || head[8] != ' ' ||
         !read_number(head.substr(9, 3), 10, status)) {
@@ -68,7 +68,7 @@
         }
     }
     if (status < 200) {
-        return true;  // an interim answer: the real one follows
+        return true;  // an interim response, which the final one follows
     }
     const bool without_body = status == 204 || status == 304;
     state_ = without_body ? State::head
@@ -94,7 +94,7 @@
     return used;
 }
 
-// How many bytes were used; 0 if more are needed, or the answer is malformed.
+// Returns the number of bytes consumed; 0 if more are needed or the response is malformed.
 std::size_t HttpReader::read_part(std::string_view bytes, Handler& handler) {
     switch (state_) {
         case State::head:
@@ -115,7 +115,8 @@
     return 0;
 }
 
-// Bytes that can't begin a head are malformed at once: its end would be waited for in vain.
+// Input that can't begin a head is rejected at once: otherwise the end of the head would be awaited
+// in vain.
 std::size_t HttpReader::read_head(std::string_view bytes, Handler& handler) {
     constexpr std::string_view kEndOfHead = "\r\n\r\n";
     const auto end = bytes.find(kEndOfHead);
--- a/src/net/http_reader.hpp
+++ b/src/net/http_reader.hpp
@@ -1,5 +1,5 @@
-// Reads responses in HTTP/1.1, with a length, in chunks, or up to the end of the connection. Takes
-// bytes; does no I/O.
+// Incremental parser of HTTP/1.1 responses whose body has a length, is chunked, or extends to the
+// end of the connection. Takes bytes; performs no I/O.
 #pragma once
 
 #include <string>
@@ -9,31 +9,31 @@
 
 class HttpReader {
   public:
-    // Receives the parts of responses, within the calls of read() and connection_ended().
+    // Receives the parts of responses. Called only from within read() and connection_ended().
     class Handler {
       public:
         virtual ~Handler() = default;
         virtual void on_head(int status) = 0;
-        virtual void on_body(std::string_view bytes) = 0;  // a part of it
+        virtual void on_body(std::string_view bytes) = 0;  // a part of the body
         virtual void on_end() = 0;                         // the response is complete
     };
 
-    // Reads as far as possible. How many bytes were used: the rest has to be passed again, followed
-    // by what comes next.
+    // Parses as much of `bytes` as possible. Returns the number of bytes consumed: the rest has to
+    // be passed again, followed by the bytes that arrive next.
     std::size_t read(std::string_view bytes, Handler& handler);
-    // The peer has closed the connection, which may end a body without a length.
+    // The peer has closed the connection. This ends a body without a length.
     void connection_ended(Handler& handler);
-    // Whether something malformed has come; nothing more is read then.
+    // Returns whether malformed input has been found; nothing more is parsed after that.
     bool is_malformed() const {
         return state_ == State::malformed;
     }
-    // Whether no response is under way.
+    // Returns whether no response is in progress.
     bool between_responses() const {
         return state_ == State::head;
     }
 
   private:
-    // What is read next.
+    // The part of a response that is parsed next.
     enum class State {
         head,
         length,
@@ -53,7 +53,7 @@
     void finish(Handler& handler);
 
     State state_ = State::head;
-    unsigned long long remaining_ = 0;  // bytes of the body, or of the chunk
+    unsigned long long remaining_ = 0;  // bytes left of the body or of the current chunk
 };
 
 }  // namespace tideline::net
--- a/src/net/http_stream_call.cpp
+++ b/src/net/http_stream_call.cpp
@@ -47,7 +47,7 @@
     return "";
 }
 
-// The connection of one call.
+// The connection of a call.
 class HttpStreamCall::Stream : public TcpConnection, HttpReader::Handler {
   public:
     Stream(HttpStreamCall& call, std::string path, Seconds first_timeout, Seconds silence_timeout)
@@ -66,7 +66,7 @@
     }
     Stream(const Stream&) = delete;
     Stream& operator=(const Stream&) = delete;
-    // What was reported meanwhile is read before clients' requests that depend on it.
+    // Updates are read before the requests of clients, whose routing depends on them.
     bool is_urgent() const override {
         return true;
     }
@@ -132,7 +132,7 @@
     JsonObjectSplitter objects_;
     bool connected_ = false;
     bool completed_ = false;
-    std::optional<CallLoss> loss_;  // set while bytes are read, reported after that
+    std::optional<CallLoss> loss_;  // set while input is parsed and reported afterwards
     Timers::Id silence_timer_ = Timers::kNone;
     Timers::Id object_timer_ = Timers::kNone;
     Timers::Id settle_timer_ = Timers::kNone;
@@ -194,7 +194,7 @@
         return;
     }
     if (text.empty() && settle_timer_ != Timers::kNone) {
-        return;  // says no more than the head
+        return;  // a heartbeat gives no more information than the response head
     }
     loop_.timers.cancel(settle_timer_);
     call_.received_ = true;
@@ -202,7 +202,8 @@
     call_.callbacks_.object(text);
 }
 
-// An object that was cut off would be waited for in vain, while heartbeats go on behind it.
+// Limits the time within which an object must be complete: the rest of a truncated object would be
+// awaited in vain while heartbeats keep the stream from being silent.
 void HttpStreamCall::Stream::limit_object() {
     if (object_timer_ != Timers::kNone) {
         return;
@@ -241,8 +242,8 @@
     loop_.destroy_after_pass(std::move(stream_));
 }
 
-// The loss may belong to the stream that is dropped, and the callback may begin the next call and
-// so replace itself: both are copied first.
+// Both the loss and the callback are copied first: the loss may be a member of the stream that is
+// dropped, and the callback may begin the next call and so replace itself.
 void HttpStreamCall::lose(const CallLoss& loss) {
     const CallLoss copy = loss;
     drop();
--- a/src/net/http_stream_call.hpp
+++ b/src/net/http_stream_call.hpp
@@ -1,5 +1,5 @@
-// One HTTP call on a connection of its own, whose answer is read object by object as it comes: a
-// single answer, or a stream that stays open.
+// An HTTP call on a connection of its own. Its response is a sequence of JSON objects, each passed
+// on as it arrives: a single answer, or a stream that stays open.
 #pragma once
 
 #include <functional>
@@ -11,44 +11,44 @@
 
 namespace tideline::net {
 
-// Why a call ended before its answer was complete.
+// The reason for which a call ended before its response was complete.
 enum class CallError {
     not_connected,
-    silent,    // nothing came for longer than allowed
-    ended,     // the peer closed the stream, or its answer ended
-    rejected,  // another HTTP status than 200
+    silent,    // nothing was received for longer than allowed
+    ended,     // the peer closed the stream, or the response ended
+    rejected,  // the HTTP status was not 200
     malformed_http,
-    malformed_json,  // what came can be no JSON object, or makes no sense to the receiver
+    malformed_json,  // the input is no JSON object, or the receiver can't interpret it
     object_too_long,
-    object_incomplete,  // an object that had begun did not come to its end
+    object_incomplete,  // the rest of an object did not arrive
 };
 
 struct CallLoss {
     CallError error = CallError::ended;
-    int http_status = 0;               // of `rejected`
-    bool ended_within_object = false;  // of `ended`: an object had begun
+    int http_status = 0;               // set for `rejected`
+    bool ended_within_object = false;  // set for `ended`: an object had begun
 
-    // The loss as the routing policy tells them apart.
+    // The kind of loss that the routing policy distinguishes.
     WatchLoss kind() const;
-    // For the log: one word, or two with the HTTP status.
+    // A field value for the log; for `rejected` followed by a field with the HTTP status.
     std::string text() const;
 };
 
-// All calls come from the event loop's thread.
+// All calls must come from the event loop's thread.
 class HttpStreamCall {
   public:
-    // Called from the loop. `object`, `completed` and `lost` have to be set.
+    // Called from the event loop. `object`, `completed` and `lost` must be set.
     struct Callbacks {
-        // One JSON object as it came, or an empty text: a heartbeat.
+        // A JSON object was received; the text is empty for a heartbeat.
         std::function<void(const std::string& text)> object;
-        // The answer has come to its end.
+        // The response is complete.
         std::function<void()> completed;
-        // The call is dropped already and may be begun again.
+        // The call was lost. It has been dropped already, so the callback may begin another.
         std::function<void(const CallLoss& loss)> lost;
-        // An object has begun and is not complete yet.
+        // An object has begun to arrive and is not complete yet.
         std::function<void()> object_began = {};
-        // The call was accepted, not before `accepted_at`, and nothing but heartbeats has come for
-        // `settle_time` seconds since.
+        // The call was accepted, no earlier than `accepted_at`, and only heartbeats were received
+        // for `settle_time` seconds since.
         std::function<void(Seconds accepted_at)> accepted = {};
         Seconds settle_time = 0;
     };
@@ -58,12 +58,12 @@
     HttpStreamCall(const HttpStreamCall&) = delete;
     HttpStreamCall& operator=(const HttpStreamCall&) = delete;
 
-    // The next call goes to this address.
+    // Sets the address of the next call.
     void move(Address address) {
         address_ = address;
     }
-    // Drops the call before and begins another. `first_timeout`: s, the longest silence before the
-    // first object; `silence_timeout`: s, after that.
+    // Drops the current call, if any, and begins another. `first_timeout` is the longest silence in
+    // seconds before the first object, `silence_timeout` after that.
     void begin(const std::string& path, Seconds first_timeout, Seconds silence_timeout,
                Callbacks callbacks);
     // Ends the call without a callback.
@@ -71,7 +71,7 @@
     bool open() const {
         return stream_ != nullptr;
     }
-    // Whether an object or a heartbeat has come.
+    // Returns whether an object or a heartbeat has been received.
     bool received() const {
         return received_;
     }
--- a/src/net/json_object_splitter.cpp
+++ b/src/net/json_object_splitter.cpp
@@ -11,8 +11,8 @@
     return true;
 }
 
-// Whether the byte can continue the object. Of numbers and literals only the characters are
-// checked; the parser of the object checks the rest.
+// Returns whether the byte can continue the object. For numbers and literals only the characters
+// are checked; the JSON parser that receives the object checks the rest.
 bool JsonObjectSplitter::accept(char c) {
     if (in_string_) {
         if (escaped_) {
--- a/src/net/json_object_splitter.hpp
+++ b/src/net/json_object_splitter.hpp
@@ -1,5 +1,5 @@
-// Splits a stream of bytes into its JSON objects in whatever layout: one a line, several on a line,
-// or one over many lines. Takes bytes; does no I/O.
+// Splits a byte stream into its JSON objects in any layout: one per line, several on a line, or one
+// over many lines. Takes bytes; performs no I/O.
 #pragma once
 
 #include <cstddef>
@@ -11,12 +11,13 @@
 
 class JsonObjectSplitter {
   public:
-    // malformed: no object can begin or go on like this; too_long: an object exceeds the limit.
+    // malformed: the input can't begin or continue an object; too_long: an object exceeds the size
+    // limit.
     enum class Result { ok, malformed, too_long };
 
-    // Calls `received` with each complete object as it came, and with "" for each empty line
-    // between objects. After anything but `ok` the stream is of no further use. `max_bytes`: of one
-    // object.
+    // Calls `received` with the text of each complete object, and with "" for each empty line
+    // between objects. After any result but `ok` the splitter must not be used any more.
+    // `max_bytes` limits the size of one object.
     template <class Callback>
     Result add(std::string_view bytes, std::size_t max_bytes, Callback received) {
         for (const char c : bytes) {
@@ -47,14 +48,15 @@
         }
         return Result::ok;
     }
-    // Whether an object has begun and is not complete.
+    // Returns whether an object has begun and is not complete.
     bool is_within_object() const {
         return !open_brackets_.empty();
     }
 
   private:
-    // What may come next, apart from white space. An object ends as malformed with the first byte
-    // that can't continue it: one that was cut off would otherwise swallow what follows it.
+    // The tokens that may come next, apart from white space. The splitter reports an object as
+    // malformed at the first byte that can't continue it: a truncated object would otherwise
+    // swallow whatever follows it.
     enum class Expected { first_key, key, colon, value, first_value, after };
     static bool is_space(char c) {
         return c == ' ' || c == '\t' || c == '\r' || c == '\n';
@@ -62,12 +64,12 @@
     bool accept(char c);
     bool close(char opened);
 
-    std::string object_;         // its bytes so far
-    std::string open_brackets_;  // brackets not yet closed
+    std::string object_;         // text of the current object so far
+    std::string open_brackets_;  // brackets that are still open, outermost first
     Expected expected_ = Expected::value;
     bool in_string_ = false;
     bool escaped_ = false;
-    bool in_key_ = false;      // the string is the name of a member
+    bool in_key_ = false;      // the current string is the name of a member
     bool in_literal_ = false;  // a number, true, false or null
     bool line_empty_ = true;
 };
--- a/src/net/limits.hpp
+++ b/src/net/limits.hpp
@@ -1,5 +1,5 @@
-// Limits of the transport: buffer sizes, descriptor budgets, timeouts and backoffs. They bound
-// resources; they take no routing decision. Sizes are in bytes, times in seconds.
+// Limits of the transport: buffer sizes, descriptor budgets, timeouts and backoffs. They bound the
+// use of resources and make no routing decisions. Sizes are in bytes, times in seconds.
 #pragma once
 
 #include <cstddef>
@@ -10,125 +10,137 @@
 
 // --- Buffers and messages, in bytes
 
-// Initial capacity of a connection's buffer: nearly every statement and answer fits.
+// Initial capacity of a connection's buffer. Almost every statement and answer fits.
 constexpr std::size_t kInitialBufferBytes = 4096;
-// One value in an answer. The protocol allows 64 KiB; endpoints were seen to send 367 KiB.
+// Maximum size of a value in an answer. The protocol allows 64 KiB, but endpoints send up to 367
+// KiB.
 constexpr std::size_t kMaxValueBytes = 512 * 1024;
-// One message of a client: a value in hex digits and the statement around it.
+// Maximum size of a client's message: a value in hexadecimal digits and the statement around it.
 constexpr std::size_t kMaxMessageBytes = 160 * 1024;
-// One message of an endpoint: the largest value and what surrounds it.
+// Maximum size of an endpoint's message: the largest value and its framing.
 constexpr std::size_t kMaxAnswerBytes = kMaxValueBytes + 4096;
-// A connection's buffer: two of the largest answers, one of them partly read.
+// Maximum size of a connection's buffer: room for two of the largest answers, one of them partly
+// read.
 constexpr std::size_t kMaxBufferBytes = 2 * kMaxAnswerBytes;
-// Every message of an endpoint other than a row.
+// Maximum size of an endpoint's messages other than rows.
 constexpr std::size_t kMaxNoticeBytes = 8192;
-// A startup packet; the bound that PostgreSQL itself has.
+// Maximum size of a startup message, the same as in PostgreSQL.
 constexpr std::size_t kMaxStartupBytes = 10000;
-// Read from one connection in one pass of the loop, so that no peer starves the others.
+// Maximum number of bytes read from a connection in one pass of the event loop, so that no peer
+// starves the others.
 constexpr std::size_t kMaxReadBytesPerPass = 16 * 1024;
-// Messages of one client handled in one pass of the loop, for the same reason.
+// Maximum number of messages of one client handled in one pass of the event loop, so that no client
+// starves the others.
 constexpr int kMaxMessagesPerPass = 16;
-// Incomplete messages of all clients together; the process may use 32 MB.
+// Maximum total size of the incomplete messages of all clients. The process may use 32 MB.
 constexpr std::size_t kMaxPartialMessageBytes = 4 * 1024 * 1024;
-// The head of an HTTP response.
+// Maximum size of the head of an HTTP response.
 constexpr std::size_t kMaxHttpHeadBytes = 16 * 1024;
-// The line that states the size of an HTTP chunk.
+// Maximum length of the line that states the size of an HTTP chunk.
 constexpr std::size_t kMaxChunkLineBytes = 256;
-// One JSON object of a stream: an indented list of 10,000 endpoints fits.
+// Maximum size of a JSON object in a stream: an indented list of 10,000 endpoints fits.
 constexpr std::size_t kMaxJsonObjectBytes = 8 * 1024 * 1024;
-// Log lines that wait for a slow reader; further lines are dropped and counted.
+// Maximum size of the log lines that wait for a slow reader. Further lines are dropped and counted.
 constexpr std::size_t kMaxPendingLogBytes = 256 * 1024;
 
 // --- Descriptors and connections
 
-// One descriptor in so many is reserved for connections to endpoints.
+// One in this many descriptors is reserved for connections to endpoints.
 constexpr int kEndpointDescriptorDivisor = 8;
-// One descriptor in so many may belong to an idle client.
+// One in this many descriptors may belong to an idle client.
 constexpr int kIdleClientDescriptorDivisor = 8;
-// Connections that wait in the kernel to be accepted; clients arrive in bursts.
+// Length of the kernel's queue of connections to be accepted; clients arrive in bursts.
 constexpr int kListenBacklog = 1024;
-// Descriptors reserved for discovery, platform, log, and what opens within one pass.
+// Descriptors reserved for discovery, the release platform, the log, and those opened within one
+// pass of the event loop.
 constexpr int kReservedDescriptors = 24;
-// Connections accepted in one pass of the loop, so that accepting does not delay answers.
+// Maximum number of connections accepted in one pass of the event loop, so that accepting does not
+// delay answers.
 constexpr int kMaxAcceptsPerPass = 64;
-// Requests for encryption that a client may send before its startup message: SSL and GSS, once
-// each.
+// Maximum number of encryption requests that a client may send before its startup message: one for
+// SSL and one for GSS.
 constexpr int kMaxEncryptionRequests = 2;
-// Endpoints that have gone and are remembered: far more than go while a list lags.
+// Maximum number of removed endpoints that are remembered; far fewer are removed while a list lags
+// behind.
 constexpr std::size_t kMaxRememberedGoneEndpoints = 1024;
 
 // --- Connections to endpoints
 
 // Share of the configured idle timeout after which the sidecar closes an idle connection, so that
-// it closes before the endpoint does.
+// the sidecar closes it before the endpoint does.
 constexpr double kIdleTimeoutFactor = 0.8;
-// Quiet time of a connection after an answer, s: duplicate answers arrive some milliseconds late.
+// Time after an answer during which a connection is not used again: duplicate answers arrive some
+// milliseconds after the answer.
 constexpr Seconds kDuplicateAnswerQuietWindow = 0.02;
-// An answer that equals the one before it on its connection is held for that time, s: if it is a
-// duplicate that came later than the quiet time, the true answer follows.
+// How long an answer that equals the previous one on its connection is held: if it is a late
+// duplicate, the real answer follows within this time.
 constexpr Seconds kDuplicateAnswerHoldTimeout = 0.1;
 
 // --- Discovery and release platform
 
-// Opening a connection to discovery or to the platform, s: both are on the same network.
+// Limit for opening a connection to discovery or to the release platform; both are on the same
+// network.
 constexpr Seconds kConnectTimeout = 1;
-// Longest silence of the watch, s: it sends an empty line every 2 s.
+// Longest silence of a watch, which sends an empty line every 2 s.
 constexpr Seconds kWatchSilenceTimeout = 2.6;
-// Longest wait for the first object of a watch, s: a call may be queued for 2 s, and two silent
-// watches have to be over within kEndpointListMaxAge.
+// Longest wait for the first object of a watch. A call may be queued for 2 s, and two consecutive
+// silent watches must be over within kMaxEndpointListAge.
 constexpr Seconds kWatchFirstObjectTimeout = 2.4;
-// Given by the protocol, s: a change counts as notified after that time, read or not.
+// Age after which the endpoint list is no longer trusted. The discovery protocol counts a change as
+// notified after this time, whether or not it was read.
 constexpr Seconds kMaxEndpointListAge = 6;
-// Given by the protocol, s: the same after the address of discovery changed.
+// The same after the address of discovery has changed, also as given by the protocol.
 constexpr Seconds kMaxEndpointListAgeAfterMove = 4;
-// An accepted call may be worked on for 2 s, s: silence for longer means that nothing had changed.
+// Discovery may take 2 s to handle an accepted call. Silence for longer than that means that
+// nothing had changed when it accepted the call.
 constexpr Seconds kAcceptedCallSettleDelay = 2.1;
-// A JSON object that has begun is complete within that time, s, or was cut off.
+// Time within which a JSON object that has begun must be complete; after it the object counts as
+// truncated.
 constexpr Seconds kJsonObjectTimeout = 2;
-// Longest silence of the platform's feed, s: it sends a heartbeat every 1 s.
+// Longest silence of the release platform's feed, which sends a heartbeat every second.
 constexpr Seconds kFeedSilenceTimeout = 3.2;
-// Backoff before a lost stream is opened again, s: doubles from the initial to the longest.
+// Delay before a lost stream is opened again; it doubles from the initial to the maximum value.
 constexpr Seconds kInitialReconnectBackoff = 0.2;
 constexpr Seconds kMaxReconnectBackoff = 2;
-// An unused connection for votes is closed after that time, s: the platform may close idle ones at
-// any time up to 10 s.
+// Time after which an unused connection for votes is closed. The platform may close idle
+// connections at any time up to 10 s.
 constexpr Seconds kVoteConnectionIdleTimeout = 2;
 
 // --- Connections from clients
 
-// Reserved of each time limit for writing the answer, s.
+// Part of each time limit that is reserved for writing the answer.
 constexpr Seconds kAnswerWriteMargin = 0.01;
-// Time for a client to read the last answer before its connection is closed, s.
+// Time for a client to read the last answer before its connection is closed.
 constexpr Seconds kClientLingerTimeout = 0.5;
-// Time for a client to read the error for which its connection is closed, s.
+// Time for a client to read the error that closes its connection.
 constexpr Seconds kErrorLingerTimeout = 0.05;
-// A startup message follows the connection within that time, s.
+// Time within which a client must have sent its startup message.
 constexpr Seconds kStartupMessageTimeout = 1.5;
-// An incomplete message that has not grown for that time, s, ends its connection.
+// Time without progress after which an incomplete message closes its connection.
 constexpr Seconds kPartialMessageTimeout = 2;
-// An answer that the client does not read holds memory for that time, s; longer where time limits
-// of requests are longer.
+// Time after which a client that does not read its answers is disconnected, because they hold
+// memory. It is longer if the time limit of a request class is longer.
 constexpr Seconds kUnreadAnswerTimeout = 5;
-// A client idle for that time, s, is closed first when descriptors run out.
+// Clients that have been idle for this time are closed first when descriptors run out.
 constexpr Seconds kIdleClientEvictionThreshold = 2;
-// Time within which a usual client has sent its startup message, s; no client is closed earlier to
-// make room.
+// Time that a well-behaved client needs at most to send its startup message. No connection is
+// closed earlier to make room.
 constexpr Seconds kClientSettleDelay = 0.05;
-// Delay before further messages of one client are read, s, so that others are served between.
+// Delay before further messages of the same client are read, so that others are served in between.
 constexpr Seconds kNextMessagesDelay = 0.001;
 
 // --- Process
 
-// The sidecar accepts clients after that time, s, also without a confirmed endpoint list.
+// Time after which the sidecar serves clients even without a confirmed endpoint list.
 constexpr Seconds kReadyTimeout = 5;
-// After SIGTERM clients may still connect for up to 0.4 s; the sidecar serves them for that time,
-// s.
+// Clients may still connect for up to 0.4 s after SIGTERM; the sidecar serves them for this time.
 constexpr Seconds kShutdownOverlap = 0.45;
-// While shutting down, an incomplete message is waited for that long, s.
+// How long a shutdown waits for the rest of an incomplete message.
 constexpr Seconds kStalledClientTimeout = 1;
-// A pass of the loop that takes longer, s, means that the process was suspended or had no core.
+// A pass of the event loop that exceeds its expected time by this much means that the process was
+// suspended or had no processor.
 constexpr Seconds kSuspensionThreshold = 0.05;
-// Time between two reports of counters in the log, s.
+// Interval between two reports of the counters in the log.
 constexpr Seconds kReportInterval = 10;
 
 }  // namespace tideline::net
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -1,4 +1,4 @@
-// A listening socket: hands on each connection that it accepts. All calls come from the event
+// A listening socket that passes on each connection that it accepts. All calls come from the event
 // loop's thread.
 #pragma once
 
@@ -16,7 +16,7 @@
 
 class Listener : public Watcher {
   public:
-    // `accepted` takes over the descriptor of each accepted connection, non-blocking.
+    // `accepted` takes ownership of the non-blocking descriptor of each accepted connection.
     Listener(EventLoop& loop, std::function<void(int fd)> accepted)
         : loop_(loop), accepted_(std::move(accepted)) {}
     ~Listener() override {
@@ -25,7 +25,8 @@
     Listener(const Listener&) = delete;
     Listener& operator=(const Listener&) = delete;
 
-    // Listens at this address only. False with errno set where that fails.
+    // Listens at this address instead of the previous one. Returns false, with errno set, on
+    // failure.
     bool listen(const Address& address) {
         close();
         socket_ = listen_at(address);
@@ -60,7 +61,8 @@
     }
 
   private:
-    // With no descriptor left the socket stays ready: the loop would spin without the pause.
+    // The socket stays readable while no descriptor is left: without this pause the event loop
+    // would spin.
     void pause() {
         loop_.set_events(socket_.get(), 0);
         resume_timer_ = loop_.timers.at(clock_now() + 50 * kNextMessagesDelay, [this] {
--- a/src/net/log.cpp
+++ b/src/net/log.cpp
@@ -39,7 +39,8 @@
             {"time", std::round(unix_time(message) * 1e3) * 1e-3},
             {"level", message.level >= spdlog::level::warn ? "alarm" : "info"},
             {"text", std::string(message.payload.data(), message.payload.size())}};
-        // Names that clients or endpoints chose may be no UTF-8, on which dump() would throw.
+        // Names chosen by clients or endpoints may be invalid UTF-8, for which dump() would throw
+        // by default.
         const std::string text =
             line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
         to.append(text.data(), text.data() + text.size());
@@ -50,11 +51,12 @@
     }
 };
 
-// Writes to standard error without blocking: keeps what it does not take at once, up to a limit.
+// Writes to standard error without blocking: keeps output that is not accepted at once, up to a
+// limit.
 class StandardErrorSink : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
   public:
     void write_pending() {
-        // A pipe that polls as writable takes PIPE_BUF bytes without blocking.
+        // A pipe that polls as writable accepts PIPE_BUF bytes without blocking.
         while (!pending_.empty()) {
             pollfd out{STDERR_FILENO, POLLOUT, 0};
             if (::poll(&out, 1, 0) != 1 || !(out.revents & POLLOUT)) {
--- a/src/net/log.hpp
+++ b/src/net/log.hpp
@@ -1,6 +1,6 @@
-// The log on standard error: plain lines, or one JSON object a line. It never blocks the event
-// loop: what standard error does not take is kept up to a bound, then dropped and counted. One
-// thread only.
+// Log on standard error, as plain lines or as one JSON object per line. It never blocks the event
+// loop: output that standard error does not accept is kept up to a limit, beyond which lines are
+// dropped and counted. Not thread-safe.
 #pragma once
 
 #include <fmt/core.h>
@@ -18,17 +18,17 @@
     Log(const Log&) = delete;
     Log& operator=(const Log&) = delete;
     ~Log();
-    // Writes an event: its name and fields.
+    // Writes an event: its name and its fields.
     template <class... Args>
     void line(fmt::format_string<Args...> format, Args&&... args) {
         add(false, fmt::format(format, std::forward<Args>(args)...));
     }
-    // The same for an event that an operator has to look at.
+    // Writes an event that an operator has to look at.
     template <class... Args>
     void alarm(fmt::format_string<Args...> format, Args&&... args) {
         add(true, fmt::format(format, std::forward<Args>(args)...));
     }
-    // Writes what standard error takes without blocking.
+    // Writes as much pending output as standard error accepts without blocking.
     void flush();
 
   private:
--- a/src/net/open_requests.hpp
+++ b/src/net/open_requests.hpp
@@ -1,5 +1,5 @@
-// The requests that were admitted, each until it has its answer and none of its attempts is in
-// flight. No I/O.
+// Table of the admitted requests. A request stays in it until it has been answered and none of its
+// attempts is in flight. Performs no I/O.
 #pragma once
 
 #include <algorithm>
@@ -17,28 +17,29 @@
 
 struct OpenRequest {
     ClientId client;
-    std::string id;                 // as its client named it
-    std::string statement;          // as its client wrote it
-    std::size_t budget_offset = 0;  // where the time budget is written in the statement
+    std::string id;                 // the id that the client gave
+    std::string statement;          // the text that the client sent
+    std::size_t budget_offset = 0;  // offset of the time budget in the statement
     std::size_t budget_size = 0;
     RequestClass request_class;
     TenantId tenant;
     ObjectKey key;
     Seconds deadline = 0;
-    int attempts = 0;  // made so far
+    int attempts = 0;  // number of attempts made so far
     int attempts_in_flight = 0;
-    bool concluded = false;              // it has its answer, or its client has gone
-    Effect effect = Effect::idempotent;  // another only where there is a duplicate-effect guard
-    // Set only where the effect is not idempotent.
+    bool concluded = false;  // the request was answered, or its client has disconnected
+    // Always idempotent if there is no duplicate-effect guard.
+    Effect effect = Effect::idempotent;
+    // Set only if the effect is not idempotent.
     std::string fingerprint;
     std::string tenant_name;
 };
 
 class OpenRequests {
   public:
-    // Reserves the id until the request is concluded; false if another open request has it. An
-    // endpoint may serve a repeated id with what it did for the first request, so two open
-    // requests may not share one.
+    // Reserves the id until the request is concluded. Returns false if another open request has it.
+    // An endpoint may answer a repeated id with the result of the first request, so no two open
+    // requests may share an id.
     bool reserve_id(std::string_view id) {
         return ids_.emplace(id).second;
     }
@@ -47,11 +48,11 @@
         peak_ = std::max(peak_, requests_.size());
         return number;
     }
-    // Null if there is none of that number.
+    // Returns the request, or null if it is not in the table.
     OpenRequest* find(RequestId request) {
         return requests_.find(request.value);
     }
-    // The request, if it is not concluded and has no attempt in flight; else null.
+    // Returns the request if it is not concluded and has no attempt in flight, or else null.
     OpenRequest* find_waiting(RequestId request) {
         OpenRequest* found = find(request);
         return found && !found->concluded && found->attempts_in_flight == 0 ? found : nullptr;
@@ -72,7 +73,7 @@
 
   private:
     Slots<OpenRequest> requests_;
-    std::set<std::string, std::less<>> ids_;  // of the requests that are not concluded
+    std::set<std::string, std::less<>> ids_;  // ids of the requests that are not concluded
     std::size_t peak_ = 0;
 };
 
--- a/src/net/postgres_protocol.cpp
+++ b/src/net/postgres_protocol.cpp
@@ -31,11 +31,11 @@
     return message('S', zero_terminated(name) + zero_terminated(value));
 }
 
-// Reads a statement token by token; quoted values and the comment are tokens of their own.
+// Tokenizer of statements; quoted values and the comment are tokens of their own.
 class StatementReader {
   public:
     explicit StatementReader(std::string_view text) : remaining_(text) {}
-    // Skips the token; false if another one is next. Keywords may be in upper or lower case.
+    // Consumes the given token, in upper or lower case. Returns false if another one is next.
     bool token(std::string_view wanted) {
         skip();
         if (remaining_.size() < wanted.size()) {
@@ -96,7 +96,7 @@
     return text;
 }
 template <class Callback>
-bool each_pair(std::string_view text, Callback call) {  // a=1,b=2
+bool each_pair(std::string_view text, Callback call) {  // splits text such as "a=1,b=2"
     while (!text.empty()) {
         const auto comma = std::min(text.find(','), text.size());
         const std::string_view pair = text.substr(0, comma);
@@ -233,7 +233,8 @@
     return !body.empty() && body.find('\0') == body.size() - 1;
 }
 
-// The count of columns; the name, table, column, type, size, modifier and format of the one.
+// The body holds the number of columns (2 bytes), then the name of the only one, its terminator,
+// and 18 bytes: table, column, type, size, modifier and format.
 bool one_column_described(std::string_view body) {
     return body.size() > 2 && body[0] == 0 && body[1] == 1 &&
            body.find('\0', 2) + 19 == body.size();
--- a/src/net/release_platform_client.cpp
+++ b/src/net/release_platform_client.cpp
@@ -9,7 +9,8 @@
 
 using nlohmann::json;
 
-// The client itself watches for silence: a silent feed is kept until another one sends.
+// Disables the timeout of the stream: this client checks for silence itself, because a silent feed
+// is kept until another one sends something.
 constexpr Seconds kNoSilenceTimeout = 1e9;
 
 std::optional<Phase> phase_of(const std::string& status) {
@@ -84,9 +85,9 @@
     maintain_feed();
 }
 
-// What comes while no feed is open is lost, and so is a vote whose answer is not waited for.
-// So the old feed stays until the new one has sent something, and the old connection until its
-// votes are answered.
+// Events sent while no feed is open are lost, and so is the answer to a vote whose connection is
+// closed. Therefore the old feed stays open until the new one has sent something, and the old
+// connection until its votes have been answered.
 void ReleasePlatformClient::move(Address address) {
     if (address == address_) {
         return;
@@ -112,8 +113,8 @@
     });
 }
 
-// What comes while no feed is open is lost. So a silent feed is kept until another has sent
-// something: the platform itself may be silent, and then another would do no better.
+// Events sent while no feed is open are lost, so a silent feed is kept until another one has sent
+// something. If the platform itself is silent, replacing the feed would not help.
 void ReleasePlatformClient::maintain_feed() {
     const Seconds now = clock_now();
     const bool is_open = feeds_[current_].open();
@@ -161,7 +162,7 @@
     feeds_[feed_index].drop();
     owner_.platform_event("feed lost: reason=" + reason);
     if (feed_index == current_) {
-        moving_ = false;  // the next one is opened at the present address
+        moving_ = false;  // the next feed is opened at the current address
         if (feeds_[1 - feed_index].open()) {
             current_ = 1 - feed_index;
         }
@@ -172,7 +173,8 @@
 void ReleasePlatformClient::feed_object_received(int feed_index, const std::string& text) {
     last_received_ = clock_now();
     backoff_ = kInitialReconnectBackoff;
-    // After a move the old feed still sends, and may not end the one that is to follow it.
+    // After a move, the old feed still sends events, and must not end the one that is about to
+    // replace it.
     if (!moving_ || feed_index != current_) {
         feeds_[1 - feed_index].drop();
         current_ = feed_index;
@@ -189,7 +191,7 @@
     read_event(event);
 }
 
-// Events of other kinds, and those that make no sense, are passed over.
+// Events of other types and malformed ones are ignored.
 void ReleasePlatformClient::read_event(const json& event) {
     const auto object = event.find("object");
     if (!event.is_object() || object == event.end() || !object->is_object()) {
--- a/src/net/release_platform_client.hpp
+++ b/src/net/release_platform_client.hpp
@@ -1,4 +1,5 @@
-// The release platform: a feed of stages and flagged answers that stays open, and votes.
+// Client of the release platform: reads a feed of release stages and flagged answers, which stays
+// open, and sends votes.
 #pragma once
 
 #include <array>
@@ -15,38 +16,41 @@
 
 namespace tideline::net {
 
-// All calls come from the event loop's thread.
+// All calls must come from the event loop's thread.
 class ReleasePlatformClient : VoteConnection::Owner {
   public:
     class Owner {
       public:
         virtual ~Owner() = default;
-        // `cap`: the largest share of requests for the build; `age`: of that knowledge, s.
+        // A release stage was announced. `cap` is the largest share of requests for the build;
+        // `age` is the age of the information in seconds.
         virtual void stage_announced(Build build, Stage stage, Phase phase, double cap,
                                      Seconds age) = 0;
-        // A client found an answer of this endpoint wrong, sent `sent_ago` seconds ago.
+        // A client flagged an answer of this endpoint as wrong; the answer was sent `sent_ago`
+        // seconds ago.
         virtual void answer_flagged(const std::string& request_class, const EndpointId& endpoint,
                                     Seconds sent_ago) = 0;
         virtual void vote_answered(VoteReply reply) = 0;
-        // For the log: the event's name and fields.
+        // An event for the log, with its name and fields.
         virtual void platform_event(const std::string& event) = 0;
     };
 
-    // `vote_timeout`: s, for the answer to a vote. `seed`: of the jitter of reconnects. `owner`
-    // outlives the client.
+    // `vote_timeout` limits the wait for the answer to a vote, in seconds. `seed` seeds the jitter
+    // of reconnects. `owner` must outlive the client.
     ReleasePlatformClient(EventLoop& loop, Owner& owner, Address address, Seconds vote_timeout,
                           std::uint64_t seed);
     ~ReleasePlatformClient() override;
     ReleasePlatformClient(const ReleasePlatformClient&) = delete;
     ReleasePlatformClient& operator=(const ReleasePlatformClient&) = delete;
 
-    // Takes one state of a release; false if it is malformed.
+    // Reads the state of a release. Returns false if it is malformed.
     bool read_state(const nlohmann::json& state) override;
     // Opens the feed.
     void begin();
-    // The platform is at another address from now on; feed and votes go over without a gap.
+    // Moves to another address of the platform. The old feed and the votes in flight are kept until
+    // the new address has taken over.
     void move(Address address);
-    // Sends a vote; its answer is reported from the loop.
+    // Sends a vote. The answer is reported from the event loop.
     void vote(Build build, Stage stage, Vote vote);
 
   private:
@@ -72,14 +76,15 @@
     Address address_;
     const Seconds vote_timeout_;
     std::ranlux24_base random_;
-    // The current feed, and one that is tried when that is silent or at the old address.
+    // The current feed, and another one that is tried while the current feed is silent or at the
+    // old address.
     std::array<HttpStreamCall, 2> feeds_;
     int current_ = 0;
-    bool moving_ = false;  // the current feed is at the old address
+    bool moving_ = false;  // the current feed is still at the old address
     Seconds last_received_ = 0;
     Seconds backoff_ = kInitialReconnectBackoff;
     Timers::Id maintain_timer_ = Timers::kNone;
-    // The last one takes votes, the others wait for answers.
+    // The last connection takes votes; the others only wait for answers.
     std::vector<std::unique_ptr<VoteConnection>> vote_connections_;
 };
 
--- a/src/net/repeated_answers.hpp
+++ b/src/net/repeated_answers.hpp
@@ -1,4 +1,5 @@
-// Answers that endpoints give more than once in a row, told apart from duplicates of one answer.
+// Records the answers that endpoints give several times in a row, to tell them from duplicates of
+// one answer.
 #pragma once
 
 #include <cstdint>
@@ -8,14 +9,14 @@
 
 namespace tideline::net {
 
-// Digest of an answer, to compare it with others.
+// Digest of an answer, for comparison with other answers.
 using AnswerDigest = std::uint64_t;
 AnswerDigest digest_of(std::string_view answer);
 
-// Remembers a bounded number of answers, the oldest goes first. One thread.
+// Remembers a limited number of answers and forgets the oldest first. Not thread-safe.
 class RepeatedAnswers {
   public:
-    // An answer was seen twice in a row, and the second was no duplicate.
+    // Records an answer that was received twice in a row and was no duplicate.
     void add(AnswerDigest digest);
     bool contains(AnswerDigest digest) const {
         return digests_.contains(digest);
--- a/src/net/ring_buffer.hpp
+++ b/src/net/ring_buffer.hpp
@@ -1,4 +1,4 @@
-// A ring buffer of bytes: small at first, grows up to a bound, returns the bytes in order.
+// A ring buffer of bytes. It starts small and grows up to a limit.
 #pragma once
 
 #include <algorithm>
@@ -21,11 +21,11 @@
     bool empty() const {
         return size_ == 0;
     }
-    // Changes the bound; bytes beyond it stay.
+    // Changes the size limit; bytes beyond it stay.
     void bound(std::size_t max_bytes) {
         max_bytes_ = max_bytes;
     }
-    // Bytes of memory that it takes up.
+    // Memory that the buffer takes up, in bytes.
     std::size_t capacity() const {
         return storage_.size();
     }
@@ -33,7 +33,8 @@
         return size_ >= max_bytes_;
     }
 
-    // Free bytes in one piece; empty only when the bound is reached.
+    // Returns contiguous free space, growing the buffer if needed; empty only if the limit is
+    // reached.
     std::span<char> free_space() {
         if (size_ == storage_.size()) {
             resize(std::min(max_bytes_, std::max(kInitialBufferBytes, 2 * storage_.size())));
@@ -44,11 +45,11 @@
         const std::size_t end = (first_ + size_) % storage_.size();
         return {storage_.data() + end, end < first_ ? first_ - end : storage_.size() - end};
     }
-    // So many bytes were written into space().
+    // Marks the first `bytes` bytes of free_space() as written.
     void mark_filled(std::size_t bytes) {
         size_ += bytes;
     }
-    // False, with nothing put, where the bound would be passed.
+    // Appends the bytes. Returns false and appends nothing if the limit would be exceeded.
     bool put(std::string_view bytes) {
         if (size_ >= max_bytes_ || bytes.size() > max_bytes_ - size_) {
             return false;
@@ -62,18 +63,18 @@
         }
         return true;
     }
-    // The bytes that lie in one piece from the first on.
+    // Returns the contiguous bytes at the front.
     std::string_view contiguous_front() const {
         return {storage_.data() + first_, std::min(size_, storage_.size() - first_)};
     }
-    // All bytes in one piece; moved together if they wrap.
+    // Returns all bytes as one contiguous view; they are moved if they wrap around.
     std::string_view all() {
         if (first_ + size_ > storage_.size()) {
             resize(storage_.size());
         }
         return contiguous_front();
     }
-    // Removes so many bytes from the front.
+    // Removes the first `bytes` bytes.
     void drop(std::size_t bytes) {
         size_ -= bytes;
         first_ = size_ == 0 ? 0 : (first_ + bytes) % storage_.size();
--- a/src/net/sidecar.cpp
+++ b/src/net/sidecar.cpp
@@ -84,7 +84,7 @@
     }
 }
 
-// --- What the routing policy decides
+// --- Decisions of the routing policy
 
 void Sidecar::attempt(RequestId request, const EndpointId& endpoint, Seconds stop_at) {
     OpenRequest* open = requests_.find(request);
@@ -165,10 +165,10 @@
     log_.line("{}", text);
 }
 
-// --- Client side
+// --- Clients
 
-// With a list that was confirmed. A process that never gets one takes clients all the same after a
-// time, to answer them.
+// Clients are served once the endpoint list is confirmed. If that never happens, they are served
+// after a timeout all the same, so that they get an answer.
 bool Sidecar::can_serve() {
     return has_endpoints_ && (list_confirmed_ || clock_now() >= ready_by_);
 }
@@ -185,8 +185,8 @@
     return make_room_below(max_descriptors_);
 }
 
-// Under overload clients open more and more connections, and their requests need descriptors too:
-// so connections that are of least use are closed until there is room.
+// Under overload, clients open more and more connections, and their requests take further
+// descriptors for endpoints. Connections of little use are closed until there is room.
 bool Sidecar::make_room_below(std::size_t descriptors) {
     while (loop_.watched_count() + kReservedDescriptors >= descriptors) {
         if (!clients_.close_one_client(kIdleClientEvictionThreshold) &&
@@ -257,7 +257,7 @@
 
 // --- Endpoints
 
-// The statement as its client wrote it, with the time that is left in place of its budget.
+// Returns the client's statement with its time budget replaced by the time that is left.
 std::string Sidecar::statement_for(RequestId request, Seconds stop_at) {
     const OpenRequest& open = *requests_.find(request);
     const auto left = static_cast<std::int64_t>((stop_at - clock_now()) * 1e3);
--- a/src/net/sidecar.hpp
+++ b/src/net/sidecar.hpp
@@ -1,5 +1,5 @@
-// Connects the routing policy with its surroundings: passes it what clients, endpoints, discovery
-// and the release platform report, and carries out what it decides.
+// The sidecar proxy: passes the reports of clients, endpoints, discovery and the release platform
+// to the routing policy, and carries out the policy's decisions.
 #pragma once
 
 #include <map>
@@ -23,9 +23,10 @@
 
 namespace tideline::net {
 
-// All calls come from the event loop's thread. Member functions are in three files: sidecar.cpp
-// (start, end, requests and attempts), sidecar_guarded_attempts.cpp (attempts that need the
-// duplicate-effect guard) and sidecar_updates.cpp (endpoint lists, stages, reports).
+// All calls must come from the event loop's thread. The member functions are defined in three
+// files: sidecar.cpp (start, shutdown, requests and attempts), sidecar_guarded_attempts.cpp
+// (attempts that need the duplicate-effect guard) and sidecar_updates.cpp (endpoint lists, release
+// stages, reports).
 class Sidecar : public Host,
                 public ObservedSidecar,
                 ClientListener::Owner,
@@ -33,21 +34,24 @@
                 DiscoveryClient::Owner,
                 ReleasePlatformClient::Owner {
   public:
-    // Starts to listen and opens its connections. `observer` is notified of everything that this
-    // sidecar acts on; null outside a cluster. `effect_guard` is asked before an attempt is sent
-    // whose request may not take effect twice; null where the cluster replicates no effects. All
-    // arguments but `config` outlive the sidecar. Throws std::runtime_error if it can't listen or
-    // lacks a setting.
+    // Starts to listen and opens the connections to discovery and the release platform. `observer`
+    // is notified of everything on which this sidecar acts; null outside a cluster. `effect_guard`
+    // is asked before an attempt is sent whose request must not take effect twice; null if the
+    // cluster does not replicate effects. All arguments but `config` must outlive the sidecar.
+    // Throws std::runtime_error if the address can't be listened at or a setting is missing.
     Sidecar(EventLoop& loop, Log& log, const SidecarConfig& config,
             FleetObserver* observer = nullptr, DuplicateEffectGuard* effect_guard = nullptr);
     ~Sidecar() override;
     Sidecar(const Sidecar&) = delete;
     Sidecar& operator=(const Sidecar&) = delete;
-    // Stops accepting clients and closes the present ones between two requests.
+    // Stops accepting clients and closes each client connection as soon as it is between two
+    // requests.
     void shut_down();
-    // Applies what can change at run time, after a SIGHUP that came no earlier than `since`.
+    // Applies the parts of the configuration that can change at run time. `since` is the earliest
+    // time at which the SIGHUP can have been sent.
     void reload(const SidecarConfig& new_config, Seconds since);
-    // Whether all clients are gone after shut_down(); each open request has a client that waits.
+    // Returns whether all clients are disconnected after shut_down(). No request is open then,
+    // because each open request has a client that waits for it.
     bool done() const {
         return shutting_down_ && clients_.size() == 0;
     }
@@ -69,7 +73,7 @@
     void effect_unknown(RequestId request) override;
 
   private:
-    // An attempt that the duplicate-effect guard was asked about and has not decided on.
+    // An attempt for which the duplicate-effect guard has been asked and has not decided yet.
     struct GuardedAttempt {
         AttemptNumber number;
         EndpointId endpoint;
@@ -77,7 +81,7 @@
         Seconds asked_at = 0;
     };
 
-    // Host: what the routing policy decides.
+    // Host: decisions of the routing policy.
     void attempt(RequestId request, const EndpointId& endpoint, Seconds stop_at) override;
     void reject(RequestId request, Seconds retry_after) override;
     void fail(RequestId request) override;
@@ -131,7 +135,7 @@
     void end_unsent_attempt(RequestId request, const GuardedAttempt& attempt, bool concluded);
     bool make_room_below(std::size_t descriptors);
     void conclude(RequestId request, std::string_view answer);
-    // Forgets the request once it is concluded and has no attempt in flight.
+    // Removes the request if it is concluded and none of its attempts is in flight.
     void forget_if_done(RequestId request);
     void report_periodically();
 
@@ -145,7 +149,7 @@
     std::size_t max_descriptors_;
     const RequestClassesByName request_classes_;
     const TenantsByName tenants_;
-    // Of the request classes that may not take effect twice; empty without a guard.
+    // Effects of the request classes that must not take effect twice; empty without a guard.
     const std::map<RequestClass, Effect> guarded_effects_;
     std::map<RequestId, GuardedAttempt> guarded_attempts_;
     OpenRequests requests_;
@@ -154,12 +158,12 @@
     DiscoveryClient discovery_;
     ReleasePlatformClient platform_;
     std::unique_ptr<RoutingPolicy> policy_;
-    bool has_endpoints_ = false;   // a list with at least one entry has come
-    bool list_confirmed_ = false;  // since the start
+    bool has_endpoints_ = false;   // a list with at least one entry has been received
+    bool list_confirmed_ = false;  // the list was confirmed at least once since the start
     bool shutting_down_ = false;
     const bool overlapping_attempts_;
     Seconds shutting_down_since_ = 0;
-    const Seconds ready_by_;  // clients are served from then on in any case
+    const Seconds ready_by_;  // from this time on clients are served in any case
     Timers::Id report_timer_ = Timers::kNone;
     Timers::Id ready_timer_ = Timers::kNone;
     SidecarCounters counters_;
--- a/src/net/sidecar_config.cpp
+++ b/src/net/sidecar_config.cpp
@@ -17,9 +17,10 @@
 using nlohmann::json;
 
 constexpr int kHexBase = 16;
-constexpr Seconds kMaxDuration = 1e9;  // of a setting that is a time
+constexpr Seconds kMaxDuration = 1e9;  // upper limit of the settings that are durations
 
-// The value of a field as it appears in a message: one line, without quotes that end it.
+// Quotes the value of a field for an error message: escapes it, so that the message stays on one
+// line and the quotes are unambiguous.
 std::string quoted(const std::string& value) {
     const std::string escaped = json(value).dump(-1, ' ', true, json::error_handler_t::replace);
     return "'" + escaped.substr(1, escaped.size() - 2) + "'";
@@ -51,7 +52,8 @@
     return seed;
 }
 
-// Ignores every decision: for a routing policy that is made only to check its settings.
+// A host that ignores every decision, for a routing policy that is constructed only to validate its
+// settings.
 class NullHost : public Host {
     void attempt(RequestId, const EndpointId&, Seconds) override {}
     void reject(RequestId, Seconds) override {}
@@ -63,8 +65,8 @@
     void log_event(const std::string&) override {}
 };
 
-// Throws where the sidecar could not start with these settings. They are checked at a reload too,
-// though they take effect only at a restart: otherwise an invalid file would go unnoticed until a
+// Throws if the sidecar could not start with these settings. They are checked at a reload too,
+// although they take effect only at a restart: otherwise an invalid file would go unnoticed until a
 // sidecar is restarted with it.
 void check_settings(const SidecarConfig& config) {
     for (const char* setting : {"allowed.connect_time", "allowed.keep_idle", "release.vote_wait"}) {
@@ -83,7 +85,8 @@
     const RoutingPolicy policy(host, config.settings, 0, 0);
 }
 
-// Throws std::exception with one line that names the field or setting.
+// Parses and validates a configuration. Throws std::exception with a one-line message that names
+// the field or setting.
 SidecarConfig parse_config(const std::string& text) {
     SidecarConfig config;
     config.text = text;
--- a/src/net/sidecar_config.hpp
+++ b/src/net/sidecar_config.hpp
@@ -1,4 +1,4 @@
-// The configuration of a sidecar, one JSON object: read at the start and again at SIGHUP.
+// The configuration of a sidecar: one JSON object, read at the start and again at SIGHUP.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -9,23 +9,26 @@
 
 namespace tideline::net {
 
-// As read and checked. `settings` also holds the times that the discovery protocol gives, in s.
+// A configuration that has been read and validated. `settings` also holds the times that the
+// discovery protocol specifies, in seconds.
 struct SidecarConfig {
     std::string name;
     Address listen;
-    Address discovery;  // of discovery
+    Address discovery;
     Address platform;
     std::uint64_t seed = 0;
-    std::size_t max_descriptors = 0;       // descriptors; 0: no limit given
-    nlohmann::json initial_endpoint_list;  // the endpoint list to start with
-    nlohmann::json initial_release_state;  // the release stage to start with
+    std::size_t max_descriptors = 0;  // 0 if the configuration sets no limit
+    nlohmann::json initial_endpoint_list;
+    nlohmann::json initial_release_state;
     Settings settings;
-    std::string text;                               // as it was read
-    double need(const std::string& setting) const;  // throws std::runtime_error, naming the setting
+    std::string text;  // the text of the file
+    // Returns the value of a numeric setting. Throws std::runtime_error that names the setting if
+    // it is missing or not a number.
+    double need(const std::string& setting) const;
 };
 
-// Throws std::exception with one line that names the file, the field or setting, its value, and
-// what is allowed.
+// Reads and validates a configuration file. Throws std::exception with a one-line message that
+// names the file, the field or setting, its value, and the allowed values.
 SidecarConfig read_sidecar_config(const std::string& path);
 
 }  // namespace tideline::net
--- a/src/net/sidecar_guarded_attempts.cpp
+++ b/src/net/sidecar_guarded_attempts.cpp
@@ -1,5 +1,5 @@
-// Attempts of requests that may not take effect twice: the duplicate-effect guard decides whether
-// each may go out.
+// Attempts of requests that must not take effect twice: the duplicate-effect guard decides whether
+// each of them may be sent.
 #include "net/check_invariant.hpp"
 #include "net/sidecar.hpp"
 
@@ -19,7 +19,8 @@
             guarded.request_class = name;
         }
     }
-    // The comment names this one request and how long its client waits: a repeat differs in it.
+    // The comment in the statement holds the id of this request and its time budget, which differ
+    // between repeats.
     guarded.statement = std::string_view(open.statement).substr(0, open.statement.find("/*"));
     guarded.idempotent = open.effect == Effect::fingerprinted;
     effect_guard_->before_attempt(guarded, number, endpoint);
@@ -35,7 +36,8 @@
     return attempt;
 }
 
-// The attempt did not go out. `concluded`: as the routing policy is to take the request.
+// Ends an attempt that was not sent. `concluded` tells the routing policy whether the request is
+// concluded.
 void Sidecar::end_unsent_attempt(RequestId request, const GuardedAttempt& attempt, bool concluded) {
     OpenRequest* open = requests_.find(request);
     if (!check_invariant(open != nullptr,
@@ -57,8 +59,8 @@
     }
     const GuardedAttempt attempt = *take_guarded_attempt(request);
     const Seconds now = clock_now();
-    // The endpoint may drain by now, or the build's cap may have fallen: the policy is asked again
-    // as for any attempt that had to wait.
+    // The endpoint may have started to drain, or the exposure cap of its build may have been
+    // lowered, so the policy is asked again, as for any attempt that had to wait.
     const bool in_time = now < std::min(attempt.stop_at, open->deadline);
     if (in_time && policy_->may_still_send(now, request, number)) {
         return send(request, *open, number, attempt.endpoint, attempt.stop_at);
@@ -85,8 +87,8 @@
     if (!attempt || !requests_.find(request)) {
         return;
     }
-    // For the routing policy the request is concluded: its end depends on another sidecar's
-    // attempt.
+    // The routing policy treats the request as concluded, because its result now depends on another
+    // sidecar's attempt.
     end_unsent_attempt(request, *attempt, true);
 }
 
--- a/src/net/sidecar_settings.cpp
+++ b/src/net/sidecar_settings.cpp
@@ -12,7 +12,7 @@
     return std::string(list) + "." + std::to_string(index) + "." + field;
 }
 
-// Positions by name, of the entries list.0.name, list.1.name and so on.
+// Indices by name of the entries list.0.name, list.1.name and so on.
 template <class Position>
 std::map<std::string, Position, std::less<>> positions_by_name(const Settings& settings,
                                                                const char* list) {
@@ -90,7 +90,7 @@
     return std::min<std::size_t>(configured, limit.rlim_max);
 }
 
-// FNV-1a with 64 bits.
+// 64-bit FNV-1a.
 ObjectKey object_key_of(std::string_view record) {
     constexpr std::uint64_t kOffsetBasis = 14695981039346656037ULL;
     constexpr std::uint64_t kPrime = 1099511628211ULL;
--- a/src/net/sidecar_settings.hpp
+++ b/src/net/sidecar_settings.hpp
@@ -1,4 +1,4 @@
-// What the sidecar itself reads from the settings, beside the routing policy.
+// Settings that the sidecar itself reads, apart from those of the routing policy.
 #pragma once
 
 #include <cstddef>
@@ -16,21 +16,23 @@
 
 RequestClassesByName request_classes_of(const Settings& settings);
 TenantsByName tenants_of(const Settings& settings);
-// The request classes that may not take effect twice, and how repeats are told apart.
+// The request classes that must not take effect twice, with the effect that tells how repeats are
+// recognised.
 std::map<RequestClass, Effect> guarded_effects_of(const Settings& settings,
                                                   const RequestClassesByName& request_classes);
 // The longest time limit of all request classes, s.
 Seconds longest_time_limit(const Settings& settings);
-// Whether two attempts of one request may be out at the same time.
+// Returns whether two attempts of one request may be in flight at the same time.
 bool overlapping_attempts_allowed(const Settings& settings);
-// Whether discovery sends changes by itself. Such a list comes over a watch too, but the routing
-// policy asks only for a list that is not pushed; the sidecar then opens the watch itself.
+// Returns whether discovery pushes changes without being asked. Pushed changes also arrive over a
+// watch, but the routing policy requests a watch only for a list that is not pushed, so for a
+// pushed list the sidecar opens the watch itself.
 bool endpoint_list_is_pushed(const Settings& settings);
 
-// Raises the process's limit of descriptors as far as allowed. `configured`: 0 for no limit. How
-// many descriptors the sidecar may use.
+// Raises the descriptor limit of the process as far as allowed and returns how many descriptors the
+// sidecar may use. `configured` is 0 if the configuration sets no limit.
 std::size_t allowed_descriptors(std::size_t configured);
-// A number for the record's name, the same at every start.
+// Hashes the name of a record. The result is the same in every process.
 ObjectKey object_key_of(std::string_view record);
 
 }  // namespace tideline::net
--- a/src/net/sidecar_updates.cpp
+++ b/src/net/sidecar_updates.cpp
@@ -1,4 +1,5 @@
-// What discovery, the release platform and the cluster report, and the sidecar's report in the log.
+// Updates from discovery, the release platform and the cluster, and the sidecar's periodic report
+// in the log.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -12,7 +13,7 @@
 namespace tideline::net {
 namespace {
 
-// Descriptors of the process that the loop does not watch.
+// Number of descriptors that the process holds but the event loop does not watch.
 constexpr std::size_t kUnwatchedDescriptors = 4;
 
 }  // namespace
--- a/src/net/slots.hpp
+++ b/src/net/slots.hpp
@@ -1,5 +1,6 @@
-// A table whose entries are found by number. A number holds the entry's place and how often that
-// was used, so that the number of a removed entry never finds its successor. Never 0.
+// A table whose entries are found by number. A number combines the index of a slot with its
+// generation, which counts the uses of the slot, so that the number of a removed entry never finds
+// the entry that replaced it. A number is never 0.
 #pragma once
 
 #include <cstdint>
@@ -24,7 +25,8 @@
         ++count_;
         return number(index, ++slot.generation);
     }
-    // Null if there is none of that number; valid until an entry is added.
+    // Returns null if there is no entry with this number. The pointer is valid until an entry is
+    // added.
     Value* find(std::uint64_t number) {
         const auto index = static_cast<std::uint32_t>(number);
         if (index >= slots_.size() || slots_[index].generation != number >> 32 ||
@@ -45,7 +47,8 @@
     std::size_t size() const {
         return count_;
     }
-    // Calls with the number and the entry; the call may remove that entry.
+    // Calls `callback` with the number and the value of each entry. The callback may remove that
+    // entry.
     template <class Callback>
     void each(Callback callback) {
         for (std::uint32_t index = 0; index < slots_.size(); ++index) {
--- a/src/net/tcp_connection.cpp
+++ b/src/net/tcp_connection.cpp
@@ -72,7 +72,8 @@
         return report_failure();
     }
     set_no_delay(fd_.get());
-    if (from != 0) {  // where that is not an address of this machine, any will do
+    // If the host is not an address of this machine, any local address is used.
+    if (from != 0) {
         const int on = 1;
         ::setsockopt(fd_.get(), IPPROTO_IP, IP_BIND_ADDRESS_NO_PORT, &on, sizeof on);
         const sockaddr_in own = to_sockaddr({from, 0});
@@ -102,7 +103,7 @@
     fd_.reset();
 }
 
-// on_closed() is called once, from the loop.
+// Schedules the single call of on_closed() from the event loop.
 void TcpConnection::report_failure() {
     failed_ = true;
     if (!closed()) {
@@ -206,7 +207,8 @@
 void TcpConnection::read_in() {
     bool peer_ended = false;
     std::size_t total_bytes = 0;
-    // The rest is read in the next pass: a peer that sends at full speed would starve the others.
+    // Any further input is read in the next pass: a peer that sends at full speed would otherwise
+    // starve the others.
     while (!in_.full() && total_bytes < kMaxReadBytesPerPass) {
         const auto to = in_.free_space();
         const ssize_t received_bytes = ::recv(fd_.get(), to.data(), to.size(), 0);
--- a/src/net/tcp_connection.hpp
+++ b/src/net/tcp_connection.hpp
@@ -1,5 +1,5 @@
-// One TCP connection: its descriptor and a ring buffer each way. All calls come from the event
-// loop's thread.
+// A TCP connection: its descriptor and a ring buffer for each direction. All calls must come from
+// the event loop's thread.
 #pragma once
 
 #include <optional>
@@ -13,21 +13,21 @@
 
 // An IPv4 address and a port.
 struct Address {
-    std::uint32_t host = 0;  // as on the wire
-    std::uint16_t port = 0;  // as on the wire
+    std::uint32_t host = 0;  // in network byte order
+    std::uint16_t port = 0;  // in network byte order
     bool operator==(const Address&) const = default;
 };
-// host:port in digits; nothing if the text is anything else.
+// Parses host:port, with an IPv4 host in dotted digits. Returns nothing for any other text.
 std::optional<Address> address_of(const std::string& text);
 std::string text_of(const Address& address);
-// A socket that listens at the address; none, with errno set, where that fails.
+// Returns a socket that listens at the address; on failure an empty descriptor, with errno set.
 FileDescriptor listen_at(const Address& address);
 
-// The base of all connections. The protected callbacks come from the loop, never from within a call
-// of the owner; a failure of any call is reported by ended().
+// The base class of all connections. The protected callbacks are called from the event loop, never
+// from within a call of the owner. The failure of any call is reported by on_closed().
 class TcpConnection : public Watcher {
   public:
-    // `max_unread_bytes`: bytes that are held unread at most.
+    // `max_unread_bytes` limits the input that is held unread.
     explicit TcpConnection(EventLoop& loop, std::size_t max_unread_bytes = kMaxBufferBytes)
         : loop_(loop), in_(max_unread_bytes) {}
     ~TcpConnection() override {
@@ -36,13 +36,13 @@
     TcpConnection(const TcpConnection&) = delete;
     TcpConnection& operator=(const TcpConnection&) = delete;
 
-    // Connects. `from`: the local host, as on the wire; 0: any.
+    // Starts to connect. `from` is the local host to bind to, in network byte order; 0 for any.
     void open(const Address& address, std::uint32_t from = 0);
-    // Takes over the descriptor of an accepted connection.
+    // Takes ownership of the descriptor of an accepted connection.
     void adopt(int fd);
-    // Writes at once as far as possible, the rest when there is room.
+    // Writes as much as possible at once and the rest when the socket accepts it.
     void put(std::string_view bytes);
-    // Ends the sending direction once everything is written.
+    // Shuts down the sending direction after everything has been written.
     void finish();
     void close();
     bool up() const {
@@ -54,31 +54,34 @@
     bool all_written() const {
         return out_.empty();
     }
-    // As on the wire; 0 if there is none.
+    // The peer's host in network byte order; 0 if there is none.
     std::uint32_t peer_host() const;
-    // Whether the peer has closed the connection, or sent something that was not read yet.
+    // Returns whether the peer has closed the connection or sent something that has not been read
+    // yet.
     bool peer_closed();
     void ready(short events) override;
 
   protected:
-    // The connection is up.
+    // The connection is established.
     virtual void on_connected() {}
-    // in_ holds bytes.
+    // `in_` holds input.
     virtual void on_received() = 0;
-    // Everything that was put is written.
+    // All pending output has been written.
     virtual void on_written() {}
-    // The peer closed the connection, or it failed; it is closed before the call.
+    // The peer closed the connection, or the connection failed. It is already closed when this is
+    // called.
     virtual void on_closed() = 0;
-    // Whether the peer's close counts at once, though bytes before it wait unread for room in in_.
+    // Returns whether the peer's close is reported at once even if earlier input is still unread
+    // because `in_` is full.
     virtual bool reports_close_while_full() const {
         return false;
     }
-    // Acknowledges what was read without waiting for something to send with it: a peer that holds
-    // back small writes until then sends them now.
+    // Acknowledges received data at once instead of waiting for data to send along with the
+    // acknowledgement. A peer that delays small writes until then sends them now.
     void acknowledge_at_once();
-    // Calls on_received() for what in_ still holds.
+    // Calls on_received() for the input that is still in `in_`.
     void receive_again();
-    // Leaves everything unread that still comes.
+    // Stops reading: further input stays in the kernel's buffer.
     void stop_reading();
 
     EventLoop& loop_;
@@ -93,8 +96,8 @@
     FileDescriptor fd_;
     bool connecting_ = false;
     bool finished_ = false;
-    bool failed_ = false;           // it failed, and on_closed() is about to be called
-    bool reading_stopped_ = false;  // nothing more is read
+    bool failed_ = false;           // the connection failed, and on_closed() will be called
+    bool reading_stopped_ = false;  // stop_reading() was called
     Timers::Id failure_timer_ = Timers::kNone;
 };
 
--- a/src/net/vote_connection.cpp
+++ b/src/net/vote_connection.cpp
@@ -84,7 +84,7 @@
 
 void VoteConnection::on_end() {
     if (open_votes_.empty()) {
-        return lose();  // an answer without a vote
+        return lose();  // an answer for which there is no vote
     }
     const auto reply = reply_of(status_);
     const nlohmann::json answer = nlohmann::json::parse(body_, nullptr, false);
@@ -106,8 +106,8 @@
     owner_.vote_answered(*reply);
 }
 
-// Whether an unanswered vote was counted is not known, unless it was never written whole. Only the
-// last one can be such.
+// Reports all open votes as unanswered. It is unknown whether such a vote was counted, unless it
+// was not written completely, which can be true only of the last one.
 void VoteConnection::lose() {
     const bool all_sent = up() && all_written();
     const std::size_t open = open_votes_.size();
--- a/src/net/vote_connection.hpp
+++ b/src/net/vote_connection.hpp
@@ -1,4 +1,4 @@
-// One connection to the release platform for votes, whose answers come in the order of the votes.
+// A connection to the release platform for votes. The platform answers in the order of the votes.
 #pragma once
 
 #include <deque>
@@ -11,32 +11,35 @@
 
 namespace tideline::net {
 
-// An answer that can't be read, or never comes, ends the connection: the next one behind it would
-// be waited for in vain. Every vote that is still open is then reported as unanswered.
+// A malformed or missing answer ends the connection, because the answers behind it could not be
+// assigned to their votes. All open votes are then reported as unanswered.
 class VoteConnection : public TcpConnection, HttpReader::Handler {
   public:
-    // The client that keeps the connection. Called from the event loop only.
+    // The client that owns the connection. Called only from the event loop's thread.
     class Owner {
       public:
         virtual ~Owner() = default;
-        // Takes the state in the answer to a vote that was counted; false if it is malformed.
+        // Reads the release state in the answer to a counted vote. Returns false if it is
+        // malformed.
         virtual bool read_state(const nlohmann::json& state) = 0;
         virtual void vote_answered(VoteReply reply) = 0;
-        // The platform answered that the vote is malformed.
+        // The platform rejected a vote as malformed.
         virtual void vote_malformed(const std::string& answer) = 0;
-        // Closes the connection and keeps the object until the end of the loop's pass.
+        // Closes the connection. The object is destroyed at the end of the current pass of the
+        // event loop.
         virtual void remove(VoteConnection& connection) = 0;
     };
 
-    // `answer_timeout`: s, for each vote.
+    // `answer_timeout` limits the wait for the answer to each vote, in seconds.
     VoteConnection(EventLoop& loop, Owner& owner, const Address& address, Seconds answer_timeout);
     ~VoteConnection() override;
     VoteConnection(const VoteConnection&) = delete;
     VoteConnection& operator=(const VoteConnection&) = delete;
 
-    // Sends a vote; its answer is reported from the loop.
+    // Sends a vote. The answer is reported from the event loop.
     void send(const std::string& vote);
-    // Takes no further votes, and ends once those that are open are answered. False if none is.
+    // Stops taking votes; the connection is closed after the open votes have been answered. Returns
+    // false if there are none.
     bool drain();
     bool draining() const {
         return draining_;
@@ -55,7 +58,7 @@
     Owner& owner_;
     const Seconds answer_timeout_;
     HttpReader reader_;
-    std::deque<Timers::Id> open_votes_;  // the time limit of each, oldest first
+    std::deque<Timers::Id> open_votes_;  // timer of each unanswered vote, oldest first
     int status_ = 0;
     std::string body_;
     bool draining_ = false;
--- a/src/settings_from_json.cpp
+++ b/src/settings_from_json.cpp
@@ -9,8 +9,8 @@
 
 using nlohmann::json;
 
-// Names of the JSON profile (lists without their positions) and of the settings. Names that are not
-// here are ignored.
+// Maps the names of the JSON profile, without list positions, to the names of the settings. Other
+// names are ignored.
 const std::map<std::string, std::string> kSettingNames = {
     {"areas", "locations"},
     {"ceilings.connectTimeoutUs", "allowed.connect_time"},
@@ -85,7 +85,7 @@
     {"zone", "location"},
 };
 
-// Values of the JSON profile and of the settings, by the name of the setting.
+// Maps values of the JSON profile to values of the settings, by the name of the setting.
 const std::map<std::string, std::map<std::string, std::string>> kSettingValues = {
     {"operations.effect",
      {{"free", "idempotent"}, {"guarded", "fingerprinted"}, {"single_shot", "side-effecting"}}},
@@ -101,8 +101,9 @@
 
 using Positions = std::vector<std::size_t>;
 
-// The name of a setting with the position of its list entry: "operations.effect" at position 2
-// becomes "operations.2.effect", and "release.caps" at position 0 becomes "release.caps.0".
+// Returns the name of a setting with the position of its list entry: "operations.effect" at
+// position 2 becomes "operations.2.effect", and "release.caps" at position 0 becomes
+// "release.caps.0".
 std::string name_at(const std::string& name, const Positions& positions) {
     if (positions.empty()) {
         return name;
@@ -138,7 +139,8 @@
 // Collects the settings while it visits a JSON profile.
 class ProfileReader {
   public:
-    // `path`: the keys down to `value` without positions; `positions`: those met on the way.
+    // `path` holds the keys that lead to `value`, without list positions; `positions` holds the
+    // list positions on that path.
     void visit(const json& value, const std::string& path, const Positions& positions) {
         if (value.is_object()) {
             for (const auto& [key, inner] : value.items()) {
--- a/src/settings_from_json.hpp
+++ b/src/settings_from_json.hpp
@@ -1,5 +1,5 @@
-// Converts a JSON profile, as the sidecar and the simulator read it, to settings. Names, values and
-// units are converted only; PolicySettings checks them. Unknown keys are ignored.
+// Converts a JSON profile, the format that the sidecar and the simulator read, to settings. Only
+// names, values and units are converted; PolicySettings validates them. Unknown keys are ignored.
 #pragma once
 
 #include <nlohmann/json.hpp>
--- a/src/simulator/json_fields.hpp
+++ b/src/simulator/json_fields.hpp
@@ -1,5 +1,5 @@
-// Reads the fields of a JSON event. Each function throws Malformed, naming the field, if it is
-// missing or of another type.
+// Readers of the fields of a JSON event. Each throws Malformed, naming the field, if the field is
+// missing or has another type.
 #pragma once
 
 #include <cstdint>
@@ -37,7 +37,7 @@
     }
     return value.get<std::int64_t>();
 }
-// From 0 on.
+// A non-negative integer.
 inline std::int64_t integer(const json& from, const char* name) {
     const auto value = integer_value(field(from, name), name);
     if (value < 0) {
@@ -49,7 +49,7 @@
 inline std::int64_t integer_or(const json& from, const char* name, std::int64_t default_value) {
     return from.contains(name) ? integer(from, name) : default_value;
 }
-// A position in a list of `count` entries; 0 if the field is missing.
+// An index into a list of `count` entries; 0 if the field is missing.
 inline int index_or_zero(const json& from, const char* name, int count) {
     const auto value = integer_or(from, name, 0);
     if (value >= count) {
@@ -72,7 +72,7 @@
     }
     return value.get<std::string>();
 }
-// False if the field is missing.
+// A boolean; false if the field is missing.
 inline bool boolean_or_false(const json& from, const char* name) {
     const auto it = from.find(name);
     if (it == from.end()) {
@@ -83,12 +83,12 @@
     }
     return it->get<bool>();
 }
-// Of a field in microseconds; 0 if it is missing.
+// A duration that the field gives in microseconds; 0 if the field is missing.
 inline Seconds duration(const json& from, const char* name) {
     return static_cast<double>(integer_or(from, name, 0)) * kSecondsPerMicrosecond;
 }
 
-// The value that `known` holds under the text of the field.
+// The value to which `known` maps the text of the field.
 template <class Enum>
 Enum enum_value(const json& from, const char* name, const std::map<std::string, Enum>& known) {
     const std::string value = text(from, name);
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -1,5 +1,6 @@
 // tideline_simulator_adapter: runs routing policies for the simulator. Reads batches of events from
-// standard input, one JSON object a line, and writes the actions of each batch to standard output.
+// standard input, one JSON object per line, and writes the resulting commands of each batch to
+// standard output.
 #include <iostream>
 #include <map>
 #include <nlohmann/json.hpp>
@@ -36,7 +37,7 @@
     {"total", EndpointListKind::complete},
     {"warm_copy", EndpointListKind::cached}};
 
-constexpr int kPhases = 4;  // values of Phase
+constexpr int kPhases = 4;  // number of values of Phase
 
 class SimulatorAdapter {
   public:
@@ -96,8 +97,8 @@
         sidecar.start(profile, seed.get<std::uint64_t>(), now_);
     }
 
-    // Events of a running sidecar, by their name in the simulator's protocol. Sidecars share
-    // nothing, so what one sends to another is ignored.
+    // Dispatches an event of a running sidecar by its name in the simulator's protocol. Simulated
+    // sidecars share nothing, so messages between them are ignored.
     void dispatch(SimulatedSidecar& sidecar, const std::string& name, const json& event) const {
         using Handler = void (SimulatorAdapter::*)(SimulatedSidecar&, const json&) const;
         static const std::map<std::string, Handler> handlers = {
@@ -167,7 +168,7 @@
         sidecar.call_policy(
             [&](RoutingPolicy& policy) { policy.endpoints_updated(now_, kind, list->second); });
     }
-    // A release status, the answer to a vote, or both in one.
+    // Handles a release status, the answer to a vote, or both in one event.
     void release_notified(SimulatedSidecar& sidecar, const json& event) const {
         const auto status = enum_value(event, "status", kVoteReplies);
         const bool answers_vote = integer_or(event, "sense", 0) == 1;
@@ -272,7 +273,7 @@
     std::map<std::string, SimulatedSidecar> sidecars_;
     std::map<std::int64_t, std::vector<EndpointInfo>> lists_;
     json commands_ = json::array();
-    std::int64_t last_time_ = 0;  // us
+    std::int64_t last_time_ = 0;  // microseconds
     Seconds now_ = 0;
 };
 
--- a/src/simulator/simulated_sidecar.hpp
+++ b/src/simulator/simulated_sidecar.hpp
@@ -1,4 +1,4 @@
-// One simulated sidecar: a routing policy, and the actions that it takes as JSON commands.
+// A simulated sidecar: a routing policy whose actions are written as JSON commands.
 #pragma once
 
 #include <cmath>
@@ -15,7 +15,7 @@
 
 using nlohmann::json;
 
-// Appends its commands to `commands`, which the caller owns and which outlives it.
+// Appends its commands to `commands`, which must outlive the object.
 class SimulatedSidecar : public Host {
   public:
     SimulatedSidecar(std::string name, json& commands)
@@ -28,7 +28,7 @@
         }
         run_guarded([&] { policy_ = std::make_unique<RoutingPolicy>(*this, settings, seed, now); });
     }
-    // An exception of the policy ends the simulation with its text.
+    // Calls `call`. An exception of the policy ends this sidecar's simulation with its text.
     template <class Call>
     void run_guarded(Call call) {
         if (failed_) {
--- a/tests/net/clock_offset_test.cpp
+++ b/tests/net/clock_offset_test.cpp
@@ -1,12 +1,14 @@
-// The offset between the wall clock and the steady clock.
+// Tests of the offset between the wall clock and the steady clock.
 #include "net/clock_offset.hpp"
 
 #include <catch2/catch.hpp>
 
 namespace tideline::net {
 
-// Seen when the fault tests lost their core between the two readings: their times were 0.5 s off
-// from those of the log, and shut-out failed with `a trial dispatch 4.51 s after it stood aside`.
+// Guards against a clock that is wrong for the whole life of the process: if the process is
+// preempted between the two readings, the offset is wrong by the length of the interruption. Times
+// of fault tests were 0.5 s off in this way, and scenario shut-out failed because an attempt on
+// trial seemed to be sent 4.51 s after the sidecar had stopped taking part.
 TEST_CASE("an interruption between the readings of two clocks does not shift the clock") {
     const int interrupted_step = GENERATE(0, 1, 2, 3, 4);
     const Seconds true_offset = 1000;
--- a/tests/net/fake_servers.hpp
+++ b/tests/net/fake_servers.hpp
@@ -1,4 +1,5 @@
-// Fake endpoints, discovery and release platform on free ports of the loopback, and what they say.
+// Fake endpoints, discovery and release platform on free loopback ports, and the messages that they
+// send.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -10,7 +11,7 @@
 
 using nlohmann::json;
 
-// Listens on a free port of the loopback; the test accepts and answers each connection itself.
+// Listens on a free loopback port. The test accepts and answers each connection itself.
 class FakeServer {
   public:
     FakeServer() : fd_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
@@ -109,7 +110,9 @@
     size << std::hex << text.size();
     return size.str() + "\r\n" + text + "\r\n";
 }
+// The head of a streamed HTTP response.
 inline const std::string kStreamHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+// A complete HTTP response.
 inline std::string http_response(int status, const std::string& body) {
     return "HTTP/1.1 " + std::to_string(status) +
            " x\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
--- a/tests/net/parsers_test.cpp
+++ b/tests/net/parsers_test.cpp
@@ -1,4 +1,4 @@
-// The parsers and tables under the sockets: every split, and seeded random bytes.
+// Parsers and containers of the transport: input split at every position, and seeded random bytes.
 #include <map>
 #include <nlohmann/json.hpp>
 #include <random>
