--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -249,12 +249,12 @@
         // The protocol defines no answer to a cancel request, and nothing can be cancelled here.
         return end();
     }
-    if (code >> 16 != pg::kMajor) {
+    if (code >> 16 != pg::kMajorVersion) {
         return fail(ClientError::protocol_version_unsupported);
     }
     started_ = true;
     if (minor_version > 0) {
-        put(pg::negotiate(0));
+        put(pg::negotiate_protocol_version(0));
     }
     put(pg::welcome());
 }
@@ -292,7 +292,7 @@
         end();
         return true;
     }
-    if (!pg::one_text(body)) {
+    if (!pg::is_single_text(body)) {
         fail(ClientError::unterminated_query);
         return true;
     }
@@ -310,7 +310,7 @@
     if (awaiting_readiness_) {
         return false;
     }
-    put(pg::empty_answer());
+    put(pg::empty_query_response());
     return true;
 }
 
--- a/src/net/endpoint_connection.cpp
+++ b/src/net/endpoint_connection.cpp
@@ -125,7 +125,7 @@
 // 3 GB.
 bool EndpointConnection::can_begin_next(std::string_view bytes) const {
     const char type = bytes[0];
-    const bool short_enough = pg::within(bytes, kMaxNoticeBytes);
+    const bool short_enough = pg::has_body_within(bytes, kMaxNoticeBytes);
     if (type == 'S' || type == 'N') {
         return short_enough;
     }
@@ -138,11 +138,11 @@
             if (type == 'E') {
                 return short_enough;
             }
-            return type == 'D' && pg::begins_value(bytes, kMaxValueBytes);
+            return type == 'D' && pg::can_begin_single_value(bytes, kMaxValueBytes);
         case State::row:
             return (type == 'C' || type == 'E') && short_enough;
         case State::completed:
-            return type == 'Z' && pg::within(bytes, 1);
+            return type == 'Z' && pg::has_body_within(bytes, 1);
         default:
             return false;
     }
@@ -169,13 +169,13 @@
         case 'T':
             state_ = State::row_description;
             answer_.append(message);
-            return pg::one_column_described(body);
+            return pg::describes_one_column(body);
         case 'D':
             state_ = State::row;
             answer_.append(message);
-            return pg::one_value(body, kMaxValueBytes);
+            return pg::is_single_value(body, kMaxValueBytes);
         case 'C':
-            if (!pg::one_text(body)) {
+            if (!pg::is_single_text(body)) {
                 return false;
             }
             answer_.append(message);
@@ -189,11 +189,11 @@
 // A malformed parameter ends the connection after the response, but the answer itself is still
 // used.
 void EndpointConnection::handle_parameter(std::string_view body) {
-    const auto parameter = pg::parameter(body);
+    const auto parameter = pg::parse_parameter_status(body);
     if (!parameter) {
         last_response_ = true;
     } else if (parameter->first == kLoadParameter) {
-        load_ = pg::load(parameter->second);
+        load_ = pg::parse_load_report(parameter->second);
     }
 }
 
@@ -208,7 +208,7 @@
         owner_.connection_failed(number_, overloaded ? Outcome::overloaded : Outcome::unreachable);
     } else if (overloaded) {
         end_exchange(Outcome::overloaded);
-    } else if (pg::blames_statement(sqlstate)) {
+    } else if (pg::is_statement_error(sqlstate)) {
         end_exchange(Outcome::never_sent);
     } else {
         end_exchange(Outcome::failed);
--- a/src/net/postgres_protocol.cpp
+++ b/src/net/postgres_protocol.cpp
@@ -10,14 +10,14 @@
 namespace tideline::net::pg {
 namespace {
 
-std::uint32_t number(std::string_view bytes) {
+std::uint32_t read_uint32(std::string_view bytes) {
     std::uint32_t value = 0;
     for (std::size_t i = 0; i < 4; ++i) {
         value = value << 8 | static_cast<unsigned char>(bytes[i]);
     }
     return value;
 }
-std::string number(std::size_t value, int bytes = 4) {
+std::string encode_integer(std::size_t value, int bytes = 4) {
     std::string text;
     for (int i = bytes - 1; i >= 0; --i) {
         text += static_cast<char>(value >> (8 * i) & 0xff);
@@ -96,7 +96,7 @@
     return text;
 }
 template <class Callback>
-bool each_pair(std::string_view text, Callback call) {  // splits text such as "a=1,b=2"
+bool for_each_pair(std::string_view text, Callback call) {  // splits text such as "a=1,b=2"
     while (!text.empty()) {
         const auto comma = std::min(text.find(','), text.size());
         const std::string_view pair = text.substr(0, comma);
@@ -112,17 +112,17 @@
 
 }  // namespace
 
-Read next(std::string_view bytes, std::size_t most, char& type, std::string_view& body,
-          std::size_t& whole) {
+Read next(std::string_view bytes, std::size_t max_bytes, char& type, std::string_view& body,
+          std::size_t& message_size) {
     if (bytes.size() < 5) {
         return Read::more;
     }
-    const std::size_t length = number(bytes.substr(1));
-    if (length < 4 || length > most) {
+    const std::size_t length = read_uint32(bytes.substr(1));
+    if (length < 4 || length > max_bytes) {
         return Read::bad;
     }
-    whole = length + 1;
-    if (bytes.size() < whole) {
+    message_size = length + 1;
+    if (bytes.size() < message_size) {
         return Read::more;
     }
     type = bytes[0];
@@ -131,31 +131,32 @@
 }
 
 Read next_startup(std::string_view bytes, std::uint32_t& code, std::string_view& body,
-                  std::size_t& whole) {
+                  std::size_t& message_size) {
     if (bytes.size() < 4) {
         return Read::more;
     }
-    whole = number(bytes);
-    if (whole < 8 || whole > kMaxStartupBytes) {
+    message_size = read_uint32(bytes);
+    if (message_size < 8 || message_size > kMaxStartupBytes) {
         return Read::bad;
     }
-    if (bytes.size() < whole) {
+    if (bytes.size() < message_size) {
         return Read::more;
     }
-    code = number(bytes.substr(4));
-    body = bytes.substr(8, whole - 8);
+    code = read_uint32(bytes.substr(4));
+    body = bytes.substr(8, message_size - 8);
     return Read::whole;
 }
 
 std::string message(char type, std::string_view body) {
     std::string bytes(1, type);
-    bytes += number(body.size() + 4);
+    bytes += encode_integer(body.size() + 4);
     return bytes.append(body);
 }
 std::string startup(std::string_view user, std::string_view database) {
-    std::string body = number(kMajor << 16) + zero_terminated("user") + zero_terminated(user) +
-                       zero_terminated("database") + zero_terminated(database) + '\0';
-    return number(body.size() + 4) + body;
+    std::string body = encode_integer(kMajorVersion << 16) + zero_terminated("user") +
+                       zero_terminated(user) + zero_terminated("database") +
+                       zero_terminated(database) + '\0';
+    return encode_integer(body.size() + 4) + body;
 }
 std::string query(std::string_view text) {
     return message('Q', zero_terminated(text));
@@ -164,16 +165,16 @@
     return message('Z', "I");
 }
 std::string welcome() {
-    return message('R', number(0)) + parameter_status("server_version", "15.0") +
+    return message('R', encode_integer(0)) + parameter_status("server_version", "15.0") +
            parameter_status("server_encoding", "UTF8") +
            parameter_status("client_encoding", "UTF8") +
            parameter_status("standard_conforming_strings", "on") +
-           message('K', number(1) + number(1)) + ready();
+           message('K', encode_integer(1) + encode_integer(1)) + ready();
 }
-std::string negotiate(std::uint32_t minor) {
-    return message('v', number(minor) + number(0));
+std::string negotiate_protocol_version(std::uint32_t minor) {
+    return message('v', encode_integer(minor) + encode_integer(0));
 }
-std::string empty_answer() {
+std::string empty_query_response() {
     return message('I', {}) + ready();
 }
 std::string error(std::string_view severity, std::string_view code, std::string_view text,
@@ -200,11 +201,12 @@
     return {};
 }
 
-bool blames_statement(std::string_view code) {
-    return code.starts_with("08") || code.starts_with("22") || code.starts_with("42");
+bool is_statement_error(std::string_view sqlstate) {
+    return sqlstate.starts_with("08") || sqlstate.starts_with("22") || sqlstate.starts_with("42");
 }
 
-std::optional<std::pair<std::string_view, std::string_view>> parameter(std::string_view body) {
+std::optional<std::pair<std::string_view, std::string_view>> parse_parameter_status(
+    std::string_view body) {
     const auto middle = body.find('\0');
     if (middle == std::string_view::npos) {
         return std::nullopt;
@@ -216,41 +218,42 @@
     return std::pair{body.substr(0, middle), body.substr(middle + 1, end - middle - 1)};
 }
 
-bool within(std::string_view bytes, std::size_t most) {
+bool has_body_within(std::string_view bytes, std::size_t max_bytes) {
     return bytes.size() < 5 ||
-           (number(bytes.substr(1)) >= 4 && number(bytes.substr(1)) <= most + 4);
+           (read_uint32(bytes.substr(1)) >= 4 && read_uint32(bytes.substr(1)) <= max_bytes + 4);
 }
-bool begins_value(std::string_view bytes, std::size_t most) {
-    if (!within(bytes, most + 6) || (bytes.size() >= 5 && number(bytes.substr(1)) < 10)) {
+bool can_begin_single_value(std::string_view bytes, std::size_t max_bytes) {
+    if (!has_body_within(bytes, max_bytes + 6) ||
+        (bytes.size() >= 5 && read_uint32(bytes.substr(1)) < 10)) {
         return false;
     }
     if (bytes.size() >= 7 && (bytes[5] != 0 || bytes[6] != 1)) {
         return false;
     }
-    return bytes.size() < 11 || number(bytes.substr(1)) - 10 == number(bytes.substr(7));
+    return bytes.size() < 11 || read_uint32(bytes.substr(1)) - 10 == read_uint32(bytes.substr(7));
 }
-bool one_text(std::string_view body) {
+bool is_single_text(std::string_view body) {
     return !body.empty() && body.find('\0') == body.size() - 1;
 }
 
 // The body holds the number of columns (2 bytes), then the name of the only one, its terminator,
 // and 18 bytes: table, column, type, size, modifier and format.
-bool one_column_described(std::string_view body) {
+bool describes_one_column(std::string_view body) {
     return body.size() > 2 && body[0] == 0 && body[1] == 1 &&
            body.find('\0', 2) + 19 == body.size();
 }
 
-bool one_value(std::string_view body, std::size_t most) {
+bool is_single_value(std::string_view body, std::size_t max_bytes) {
     if (body.size() < 6 || body[0] != 0 || body[1] != 1) {
         return false;
     }
-    const std::size_t size = number(body.substr(2));
-    return size <= most && body.size() == 6 + size;
+    const std::size_t size = read_uint32(body.substr(2));
+    return size <= max_bytes && body.size() == 6 + size;
 }
 
-LoadReport load(std::string_view text) {
+LoadReport parse_load_report(std::string_view text) {
     LoadReport load;
-    each_pair(text, [&](std::string_view name, std::string_view value) {
+    for_each_pair(text, [&](std::string_view name, std::string_view value) {
         double read = 0;
         const auto end = std::from_chars(value.data(), value.data() + value.size(), read);
         if (end.ec == std::errc{} && end.ptr == value.data() + value.size() &&
@@ -284,7 +287,7 @@
         return false;
     }
     visit("", *record);
-    return each_pair(trimmed(*comment), visit);
+    return for_each_pair(trimmed(*comment), visit);
 }
 
 }  // namespace tideline::net::pg
