--- a/src/replication/replica_metadata.hpp
+++ b/src/replication/replica_metadata.hpp
@@ -43,8 +43,8 @@
         }
         std::string bytes = row.bytes(0);
         if (checksum_of(name, bytes) != row.number(1)) {
-            throw storage::DamagedFileError(
-                fmt::format("{}: its {} is altered", database_.path(), name));
+            throw storage::DamagedFileError(fmt::format(
+                "{}: stored value '{}' does not match its checksum", database_.path(), name));
         }
         return bytes;
     }
@@ -53,7 +53,7 @@
         std::optional<std::string> bytes = get(name);
         if (!bytes) {
             throw storage::DamagedFileError(
-                fmt::format("{}: its {} is missing", database_.path(), name));
+                fmt::format("{}: stored value '{}' is missing", database_.path(), name));
         }
         return std::move(*bytes);
     }
