--- a/src/replication/effect_log_settings.hpp
+++ b/src/replication/effect_log_settings.hpp
@@ -13,7 +13,7 @@
     // Interval at which the record is read while an attempt of another claimant is in flight.
     Seconds poll_interval = 0.1;
     Seconds notification_timeout = 60;  // time after which an unconfirmed notification is dropped
-    // A member about which gossip has told nothing for this long after the start counts as dead.
+    // A member that gossip has not mentioned this long after the start counts as dead.
     Seconds unknown_member_timeout = 10;
     // Whether an attempt is sent although it was not replicated in time; otherwise its request is
     // rejected.
--- a/src/replication/member_health.hpp
+++ b/src/replication/member_health.hpp
@@ -39,6 +39,7 @@
 };
 const char* exclusion_reason_name(ExclusionReason reason);
 
+// A member that was excluded, and why.
 struct Exclusion {
     Name member;
     ExclusionReason reason = ExclusionReason::silent;
--- a/src/replication/owner_liveness.hpp
+++ b/src/replication/owner_liveness.hpp
@@ -11,7 +11,7 @@
 // Single-threaded; neither does I/O nor reads a clock.
 class OwnerLiveness {
   public:
-    // `unknown_member_timeout`: a member of which nothing is known this many seconds after
+    // `unknown_member_timeout`: a member that gossip has not mentioned this many seconds after
     // `started_at` counts as dead.
     OwnerLiveness(const Name& self, const Incarnation& incarnation, Seconds started_at,
                   Seconds unknown_member_timeout);
@@ -23,7 +23,7 @@
     // member, and may still send the attempt. The caller may therefore do only what is allowed
     // beside an attempt that may still run.
     bool is_dead(Seconds now, const EffectOwner& owner) const;
-    // Members whose newest incarnation is gone.
+    // Members whose newest incarnation has left or failed.
     const std::set<Name>& gone_members() const {
         return gone_;
     }
--- a/src/replication/replica_status.cpp
+++ b/src/replication/replica_status.cpp
@@ -39,6 +39,8 @@
     }
     std::set<std::pair<ShardId, Name>> lagging =
         operations_.lagging_members(now, settings_.lag_limit);
+    // While a shard is not open, a member that does not answer the first comparison within the lag
+    // limit counts as lagging too.
     for (const auto& [shard_id, shard] : shards_) {
         if (shard.has_primary(self_) && !shard.open) {
             for (const auto& [name, peer] : shard.peers) {
