--- a/src/replication/replica_catch_up.cpp
+++ b/src/replication/replica_catch_up.cpp
@@ -128,9 +128,9 @@
 // acknowledged all of them.
 void Replica::send_repairs(Seconds now, ShardId shard_id, Shard& shard, const Name& name) {
     Peer& peer = shard.peers.at(name);
-    const bool paced = !shard.replica_set.has_replica(name);
+    const bool is_rate_limited = !shard.replica_set.has_replica(name);
     while (!peer.to_send.empty() && peer.repairs.size() < settings_.repair_window) {
-        if (paced && repair_allowance_.is_spent()) {
+        if (is_rate_limited && repair_allowance_.is_spent()) {
             schedule_tick(now + settings_.resend_interval / 10);
             return;
         }
@@ -140,7 +140,7 @@
         if (record == shard.records.end()) {
             continue;
         }
-        if (paced) {
+        if (is_rate_limited) {
             repair_allowance_.spend(size_of(record->second));
         }
         Operation operation;
--- a/src/replication/replica_store.cpp
+++ b/src/replication/replica_store.cpp
@@ -12,7 +12,7 @@
 namespace tideline::replication {
 namespace {
 
-std::int64_t sum_of(const std::string& bytes, ShardId shard_id, const std::string& key) {
+std::int64_t row_checksum(const std::string& bytes, ShardId shard_id, const std::string& key) {
     return storage::sum_of(bytes, storage::place_of(key) + shard_id.value);
 }
 
@@ -105,11 +105,11 @@
         const std::string key = rows.bytes(1);
         const std::string bytes = rows.bytes(2);
         wire::HeldRecord row;
-        if (sum_of(bytes, shard_id, key) != rows.number(3) || !row.ParseFromString(bytes)) {
+        if (row_checksum(bytes, shard_id, key) != rows.number(3) || !row.ParseFromString(bytes)) {
             found_.corrupt.insert(shard_id);
             continue;
         }
-        checksums_[shard_id].set(key_of(key), rows.number(3));
+        checksums_[shard_id].set_row(key_of(key), rows.number(3));
         Record record = record_from(0, row);
         record.expires_at = record.bytes_only ? settings_.keep_bytes : settings_.keep;
         found_.records.emplace_back(shard_id, std::move(record));
@@ -288,14 +288,14 @@
 
 void ReplicaStore::put_row(Statement& insert_row, const Task& task) {
     const std::string key = bytes_of(task.key);
-    const std::int64_t checksum = sum_of(task.bytes, task.shard_id, key);
+    const std::int64_t checksum = row_checksum(task.bytes, task.shard_id, key);
     insert_row.with(1, task.shard_id.value)
         .with(2, key)
         .with(3, task.bytes)
         .with(4, checksum)
         .step();
     insert_row.again();
-    checksums_[task.shard_id].set(task.key, checksum);
+    checksums_[task.shard_id].set_row(task.key, checksum);
     ++rows_;
 }
 
@@ -303,7 +303,7 @@
     for (const Key& key : task.keys) {
         delete_row.with(1, task.shard_id.value).with(2, bytes_of(key)).step();
         delete_row.again();
-        checksums_[task.shard_id].drop(key);
+        checksums_[task.shard_id].remove_row(key);
     }
 }
 
@@ -325,8 +325,8 @@
     rows.with(1, shard_id.value);
     for (; rows.step(); ++count) {
         const std::string key = rows.bytes(0);
-        if (!expected.has(key_of(key), rows.number(2)) ||
-            sum_of(rows.bytes(1), shard_id, key) != rows.number(2)) {
+        if (!expected.has_row(key_of(key), rows.number(2)) ||
+            row_checksum(rows.bytes(1), shard_id, key) != rows.number(2)) {
             return false;
         }
     }
--- a/src/replication/shard_checksums.hpp
+++ b/src/replication/shard_checksums.hpp
@@ -26,12 +26,12 @@
 
 class ShardChecksums {
   public:
-    void set(const Key& key, std::int64_t checksum) {
-        std::int64_t& held = rows_[key];
-        digest_ ^= held ^ checksum;
-        held = checksum;
+    void set_row(const Key& key, std::int64_t checksum) {
+        std::int64_t& stored = rows_[key];
+        digest_ ^= stored ^ checksum;
+        stored = checksum;
     }
-    void drop(const Key& key) {
+    void remove_row(const Key& key) {
         const auto row = rows_.find(key);
         if (row == rows_.end()) {
             return;
@@ -40,7 +40,7 @@
         rows_.erase(row);
     }
     // Whether the shard has a row with this key and checksum.
-    bool has(const Key& key, std::int64_t checksum) const {
+    bool has_row(const Key& key, std::int64_t checksum) const {
         const auto row = rows_.find(key);
         return row != rows_.end() && row->second == checksum;
     }
