--- a/src/replication/repair_settings.hpp
+++ b/src/replication/repair_settings.hpp
@@ -9,7 +9,7 @@
 
 struct RepairSettings {
     std::size_t shards = 256;       // number of shards, fixed by the first table
-    std::size_t replicas = 2;       // desired number of replicas of each shard
+    std::size_t replicas = 2;       // desired replicas of each shard, in different places
     std::size_t min_replicas = 2;   // replicas needed to acknowledge a write; at most `replicas`
     Seconds absence_limit = 30;     // time after which an absent member is replaced
     Seconds cooldown = 10;          // duration of an exclusion
