--- a/src/audit/audit_log.cpp
+++ b/src/audit/audit_log.cpp
@@ -8,8 +8,8 @@
 namespace tideline::audit {
 namespace {
 
-// Bytes of a BLAKE2b digest; no two texts with the same 32-byte digest are known.
-constexpr std::size_t kDigestSize = 32;
+// Of BLAKE2b; no two texts with the same digest of this length are known.
+constexpr std::size_t kDigestBytes = 32;
 
 std::int64_t to_micros(Seconds span) {
     return std::llround(span * 1e6);
@@ -41,7 +41,7 @@
         static_cast<int>(a.trial_participation), a.config_digest.size(), a.config_digest,
         a.program.size(), a.program, c.trial, c.earlier, c.on_votes, c.back_votes, c.marks,
         c.drains);
-    Digest digest(kDigestSize, '\0');
+    Digest digest(kDigestBytes, '\0');
     crypto_generichash(reinterpret_cast<unsigned char*>(digest.data()), digest.size(),
                        reinterpret_cast<const unsigned char*>(text.data()), text.size(), nullptr,
                        0);
--- a/src/audit/version_audit.hpp
+++ b/src/audit/version_audit.hpp
@@ -135,7 +135,7 @@
     void exclude_member(Seconds now, const Name& name, Seconds behind_since);
     bool proven_current(const PeerVersion& peer) const;
     void review_participation(Seconds now);
-    TrialParticipation participation(Seconds now) const;
+    TrialParticipation decide_participation(Seconds now) const;
 
     VersionAuditHost* host_;
     VersionAuditSettings settings_;
--- a/src/cluster/active_state.cpp
+++ b/src/cluster/active_state.cpp
@@ -55,7 +55,7 @@
     return it == endpoints_.end() ? nullptr : &it->second.info;
 }
 
-std::size_t ActiveState::ready_endpoints() const {
+std::size_t ActiveState::count_ready_endpoints() const {
     return static_cast<std::size_t>(std::count_if(
         endpoints_.begin(), endpoints_.end(),
         [](const auto& each) { return each.second.info.state == EndpointState::ready; }));
--- a/src/cluster/active_state.hpp
+++ b/src/cluster/active_state.hpp
@@ -51,7 +51,7 @@
     // Returns nullptr if the list does not contain the endpoint. The pointer is valid until the
     // list changes.
     const EndpointInfo* find_endpoint(const EndpointId& endpoint) const;
-    std::size_t ready_endpoints() const;
+    std::size_t count_ready_endpoints() const;
     // Returns whether the endpoint runs a build that is not released yet.
     bool runs_trial_build(const EndpointId& endpoint) const;
     // Returns a version of rank 0 if the part was not set yet.
--- a/src/cluster/cluster_member.cpp
+++ b/src/cluster/cluster_member.cpp
@@ -153,7 +153,7 @@
         }
     }
     if (leased_tasks_) {
-        leased_tasks_->ready_endpoints(state_.ready_endpoints());
+        leased_tasks_->set_ready_endpoint_count(state_.count_ready_endpoints());
     }
     if (kind == EndpointListKind::changes) {
         audit_log_.add_drains(drains);
@@ -187,7 +187,7 @@
 
 void ClusterMember::attempted(const EndpointId& endpoint) {
     if (leased_tasks_) {
-        leased_tasks_->attempted();
+        leased_tasks_->add_attempt();
     }
     audit_log_.add_attempt(state_.runs_trial_build(endpoint));
 }
--- a/src/cluster/config_reader.hpp
+++ b/src/cluster/config_reader.hpp
@@ -87,23 +87,23 @@
         };
     }
     template <class Number>
-    SettingParser number(Number& to, double least, double most, const char* unit = "") {
-        return [this, &to, least, most, unit](const Setting& from) {
+    SettingParser number(Number& to, double min_value, double max_value, const char* unit = "") {
+        return [this, &to, min_value, max_value, unit](const Setting& from) {
             if (!from.isNumber()) {
-                return fault(from, fmt::format("is not a number; allowed: {}{} to {}{}", least,
-                                               unit, most, unit));
+                return fault(from, fmt::format("is not a number; allowed: {}{} to {}{}", min_value,
+                                               unit, max_value, unit));
             }
             const double value = from.getType() == Setting::TypeFloat ? static_cast<double>(from)
                                  : from.getType() == Setting::TypeInt64
                                      ? static_cast<double>(static_cast<long long>(from))
                                      : static_cast<double>(static_cast<int>(from));
-            if (!(value >= least && value <= most)) {
-                return fault(from, fmt::format("{}{} is not from {}{} to {}{}", value, unit, least,
-                                               unit, most, unit));
+            if (!(value >= min_value && value <= max_value)) {
+                return fault(from, fmt::format("{}{} is not from {}{} to {}{}", value, unit,
+                                               min_value, unit, max_value, unit));
             }
             if (std::is_integral_v<Number> && value != std::floor(value)) {
                 return fault(from, fmt::format("{}{} is not a whole number; allowed: {}{} to {}{}",
-                                               value, unit, least, unit, most, unit));
+                                               value, unit, min_value, unit, max_value, unit));
             }
             to = static_cast<Number>(value);
         };
--- a/src/cluster/leased_tasks.cpp
+++ b/src/cluster/leased_tasks.cpp
@@ -187,11 +187,11 @@
         slow_start_coordinator_.endpoint_removed(endpoint);
     }
 }
-void LeasedTasks::ready_endpoints(std::size_t count) {
+void LeasedTasks::set_ready_endpoint_count(std::size_t count) {
     slow_start_coordinator_.ready_endpoints(count);
     schedule_tick();
 }
-void LeasedTasks::attempted() {
+void LeasedTasks::add_attempt() {
     recent_attempts_.add(net::clock_now(), window_);
 }
 double LeasedTasks::recent_attempts() const {
--- a/src/cluster/leased_tasks.hpp
+++ b/src/cluster/leased_tasks.hpp
@@ -43,9 +43,9 @@
     void begin();
     void leave();
     void endpoint_updated(const EndpointId& endpoint, bool ready, Seconds started);
-    void ready_endpoints(std::size_t count);
+    void set_ready_endpoint_count(std::size_t count);
     // Counts one attempt of this member.
-    void attempted();
+    void add_attempt();
     void on_audit(const std::vector<wire::Row>& rows);
     // Handles limits from the lease holder. Returns false if their fencing token is older than the
     // newest one seen. Otherwise this member must report its recent attempts.
--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -48,16 +48,16 @@
 }
 
 // --- Gossip
-void Membership::heard_from(Seconds now, const Entry& sender) {
+void Membership::merge_sender_entry(Seconds now, const Entry& sender) {
     if (sender.name == self_.name) {
         return merge_self(sender);
     }
     if (const auto entry = swim::merge_sender(table_.find(sender.name), sender)) {
-        put(now, *entry);
+        store_entry(now, *entry);
     }
 }
 
-void Membership::merge_all(Seconds now, const Gossip& gossip, const Name& gossiper) {
+void Membership::merge_gossip(Seconds now, const Gossip& gossip, const Name& gossiper) {
     for (const Entry& entry : gossip) {
         merge(now, entry, gossiper, false);
     }
@@ -116,7 +116,7 @@
         case swim::MergeDecision::replaced:
             break;
     }
-    put(now, swim::replacement_of(*known, gossip_entry));
+    store_entry(now, swim::replacement_of(*known, gossip_entry));
     if (gossip_entry.state == MemberState::suspected) {
         accuse(now, gossip_entry.name, gossip_entry.suspected_by);
     }
@@ -124,13 +124,13 @@
 
 // Entries of a complete table are not queued as changes, because they would delay recent changes.
 void Membership::merge_new(Seconds now, const Entry& gossip_entry, bool from_table) {
-    put(now, gossip_entry, !from_table);
+    store_entry(now, gossip_entry, !from_table);
     if (gossip_entry.state == MemberState::suspected) {
         accuse(now, gossip_entry.name, gossip_entry.suspected_by);
     }
 }
 
-void Membership::put(Seconds now, const Entry& entry, bool gossiped) {
+void Membership::store_entry(Seconds now, const Entry& entry, bool gossiped) {
     const swim::MemberTable::Change change = table_.put(now, entry);
     if (change.joined) {
         detector_.add_target(entry.name, random_);
@@ -158,7 +158,7 @@
         Entry accused = known;
         accused.state = MemberState::suspected;
         accused.suspected_by = accuser;
-        put(now, accused);
+        store_entry(now, accused);
     } else if (suspicions_.add_accuser(name, accuser)) {
         known.suspected_by = accuser;
         dissemination_.add(name);
@@ -169,7 +169,7 @@
     for (const Name& name : suspicions_.expired(now, table_.cluster_size(), settings_.period)) {
         Entry entry = *table_.find(name);
         entry.state = MemberState::gone;
-        put(now, entry);
+        store_entry(now, entry);
     }
 }
 
@@ -205,8 +205,8 @@
 
 void Membership::ping_received(Seconds now, const Entry& from, PingId ping_id,
                                const Gossip& gossip) {
-    heard_from(now, from);
-    merge_all(now, gossip, from.name);
+    merge_sender_entry(now, from);
+    merge_gossip(now, gossip, from.name);
     if (!left_) {
         host_->acknowledge(from.name, ping_id, gossip_for(from.name));
     }
@@ -215,8 +215,8 @@
 
 void Membership::indirect_ping_requested(Seconds now, const Entry& from, PingId ping_id,
                                          const Name& target, const Gossip& gossip) {
-    heard_from(now, from);
-    merge_all(now, gossip, from.name);
+    merge_sender_entry(now, from);
+    merge_gossip(now, gossip, from.name);
     if (left_ || target == self_.name || !table_.find(target)) {
         return host_->report_no_answer(from.name, ping_id);
     }
@@ -228,8 +228,8 @@
 }
 
 void Membership::answered(Seconds now, const Entry& from, PingId ping_id, const Gossip& gossip) {
-    heard_from(now, from);
-    merge_all(now, gossip, from.name);
+    merge_sender_entry(now, from);
+    merge_gossip(now, gossip, from.name);
     detector_.on_answer(ping_id);
     if (const auto ping = indirect_pings_.take(ping_id)) {
         host_->acknowledge(ping->requester, ping->requested_id, gossip_for(ping->requester));
@@ -254,7 +254,7 @@
 }
 
 void Membership::table_requested(Seconds now, const Entry& from) {
-    heard_from(now, from);
+    merge_sender_entry(now, from);
     if (!left_) {
         send_table(now, from.name, true);
     }
@@ -263,7 +263,7 @@
 
 void Membership::table_received(Seconds now, const Entry& from, const Gossip& part,
                                 bool wants_reply) {
-    heard_from(now, from);
+    merge_sender_entry(now, from);
     for (const Entry& entry : part) {
         merge(now, entry, from.name, true);
     }
@@ -300,7 +300,7 @@
     Entry entry = *known;
     entry.excluded = excluded;
     ++entry.ruling_number;
-    put(now, entry);
+    store_entry(now, entry);
 }
 
 void Membership::leave(Seconds) {
--- a/src/cluster/membership.hpp
+++ b/src/cluster/membership.hpp
@@ -72,7 +72,7 @@
                                  const Gossip& gossip);
     void answered(Seconds now, const Entry& from, PingId ping_id, const Gossip& gossip);
     void no_answer_reported(Seconds now, const Entry& from, PingId ping_id) {
-        heard_from(now, from);
+        merge_sender_entry(now, from);
         detector_.on_no_answer(ping_id);
     }
     void table_requested(Seconds now, const Entry& from);
@@ -115,12 +115,12 @@
 
   private:
     // Gossip
-    void heard_from(Seconds now, const Entry& sender);
-    void merge_all(Seconds now, const Gossip& gossip, const Name& gossiper);
+    void merge_sender_entry(Seconds now, const Entry& sender);
+    void merge_gossip(Seconds now, const Gossip& gossip, const Name& gossiper);
     void merge(Seconds now, const Entry& gossip_entry, const Name& gossiper, bool from_table);
     void merge_new(Seconds now, const Entry& gossip_entry, bool from_table);
     void merge_self(const Entry& gossip_entry);
-    void put(Seconds now, const Entry& entry, bool gossiped = true);
+    void store_entry(Seconds now, const Entry& entry, bool gossiped = true);
     Gossip gossip_for(const Name& to) {
         return dissemination_.entries_for(to, self_, table_, gossip_cutoff(due_));
     }
--- a/src/cluster/replication_agent.cpp
+++ b/src/cluster/replication_agent.cpp
@@ -146,9 +146,9 @@
         replica_store_.scrub({scrubbed_shards_++ % static_cast<std::uint32_t>(shard_count)});
     }
     // Each shard is scrubbed once per scrub interval.
-    const Seconds every =
+    const Seconds interval =
         settings_.scrub_interval / static_cast<double>(std::max<std::size_t>(1, shard_count));
-    scrub_timer_ = loop_.timers.at(net::clock_now() + every, [this] { scrub(); });
+    scrub_timer_ = loop_.timers.at(net::clock_now() + interval, [this] { scrub(); });
 }
 
 void ReplicationAgent::request_table(replication::TableVersion) {
--- a/src/swim/table_exchange.cpp
+++ b/src/swim/table_exchange.cpp
@@ -9,7 +9,7 @@
 using cluster::MemberState;
 using cluster::Name;
 
-constexpr std::size_t kEntriesPerPart = 64;
+constexpr std::size_t kMaxEntriesPerPart = 64;
 constexpr Seconds kNever = -1e18;
 
 bool reachable_at(const std::string& address, const MemberTable& table) {
@@ -35,7 +35,7 @@
             continue;
         }
         parts.back().push_back(entry);
-        if (parts.back().size() >= kEntriesPerPart) {
+        if (parts.back().size() >= kMaxEntriesPerPart) {
             parts.emplace_back();
         }
     }
