--- a/src/cluster/cluster_config.hpp
+++ b/src/cluster/cluster_config.hpp
@@ -19,7 +19,7 @@
     replication::ReplicaSettings replica;
     replication::EffectLogClientSettings effect_log;
     replication::RepairSettings repair_coordinator;
-    Seconds scrub_interval = 3600;  // s in which every replica is read back from the disk once
+    Seconds scrub_interval = 3600;  // all replicas are read back from the disk once in it
     bool group_commit = true;       // several records per fsync; false only for measurements
     bool operator==(const ReplicationSettings&) const = default;
 };
@@ -39,8 +39,8 @@
     // Addresses of the planners; without any, leased tasks are off.
     std::vector<std::string> planners;
     lease::LeaseClientSettings lease_client;
-    Seconds audit_interval = 5;  // s between fleet audits by the lease holder; 0: off
-    // Seconds between slow-start allocations by the lease holder; 0: off.
+    Seconds audit_interval = 5;  // between fleet audits by the lease holder; 0: off
+    // Between slow-start allocations by the lease holder; 0: off.
     Seconds slow_start_interval = 0.5;
     ReplicationSettings replication;
     std::string digest;  // of the file's text
--- a/src/cluster/cluster_member.cpp
+++ b/src/cluster/cluster_member.cpp
@@ -11,9 +11,9 @@
 using audit::ContentVersion;
 using audit::VersionPart;
 
-constexpr Seconds kReviewIntervalInGraces =
-    0.1;  // interval between two reviews, as a fraction of the audit's grace
-constexpr Seconds kMaxReviewInterval = 1;  // s
+// Interval between two reviews, as a fraction of the audit's grace, and its limit.
+constexpr Seconds kReviewIntervalInGraces = 0.1;
+constexpr Seconds kMaxReviewInterval = 1;
 
 // Returns an id for a new data folder. It is not drawn from the configured seed: a machine that
 // lost its disk and starts with the same seed would draw the same id, and would be taken for the
--- a/src/cluster/peer_connections.cpp
+++ b/src/cluster/peer_connections.cpp
@@ -14,8 +14,9 @@
 constexpr Seconds kIdleTimeout = 30;
 // A connection without an answer for longer than this is considered broken.
 constexpr Seconds kAnswerTimeout = 5;
-constexpr Seconds kFrameTimeout = 8;  // s to complete a frame; links with a delay of 3 s take less
-constexpr Seconds kMaintenanceInterval = 1;  // s between two checks of the time-outs
+// Time to complete a frame that has begun; links with a delay of 3 s take less.
+constexpr Seconds kFrameTimeout = 8;
+constexpr Seconds kMaintenanceInterval = 1;  // between two checks of these time-outs
 
 bool expects_answer(const wire::Word& message) {
     return message.has_ping() || message.has_ask_ping() || message.has_knock() ||
--- a/src/cluster/planner_client.cpp
+++ b/src/cluster/planner_client.cpp
@@ -20,7 +20,7 @@
 constexpr std::uint64_t kFirstOperationId = 1ULL << 63;
 constexpr Seconds kOperationTimeout = 5;  // s
 constexpr Seconds kReadTimeout = 0.5;     // s
-// s. A planner ends a subscription that was not renewed for three times this interval.
+// A planner ends a subscription that was not renewed for three times this interval.
 constexpr Seconds kWatchInterval = 5;
 constexpr std::size_t kMaxFrameBytes = 16 * 1024 * 1024;  // enough for the table of a planner
 
--- a/src/cluster/replication_agent.cpp
+++ b/src/cluster/replication_agent.cpp
@@ -15,10 +15,12 @@
 
 // Request number of the reports that the repair coordinator asks for.
 constexpr std::uint64_t kCoordinatorReportNumber = ~0ULL;
-constexpr Seconds kLeaveDelay = 3;  // s, after which a leaving member has answered all requests
-constexpr Seconds kOlderTableTimeout = 30;  // s, after which lagging planners know the newest table
-constexpr Seconds kTablePollInterval =
-    5;  // s between requests for the table, in case a notification was lost
+// A leaving member has answered all its requests by then.
+constexpr Seconds kLeaveDelay = 3;
+// Planners that lag know the newest table by then.
+constexpr Seconds kOlderTableTimeout = 30;
+// The table is requested at this interval, in case a notification was lost.
+constexpr Seconds kTablePollInterval = 5;
 
 replication::ReplicaStoreSettings store_settings_of(const ReplicationSettings& settings) {
     replication::ReplicaStoreSettings store_settings;
