--- a/src/audit/audit_log.hpp
+++ b/src/audit/audit_log.hpp
@@ -16,7 +16,7 @@
 
 // Counts of events within an epoch.
 struct Counts {
-    // Attempts sent to endpoints on a build in trial, and to all other endpoints.
+    // Attempts sent to endpoints on a build in trial (`trial`), and to all others (`earlier`).
     std::uint64_t trial = 0;
     std::uint64_t earlier = 0;
     std::uint64_t on_votes = 0;
--- a/src/cluster/frame.cpp
+++ b/src/cluster/frame.cpp
@@ -49,7 +49,7 @@
         return FrameRead::more;
     }
     const std::uint64_t length = decode_number(bytes.substr(4, 4));
-    // A damaged or malicious length would otherwise make the reader wait for ever or exhaust the
+    // A damaged or malicious length would otherwise make the reader wait for ever or exhaust
     // memory.
     if (length > max_body_bytes) {
         error = "a frame of " + std::to_string(length) + " bytes, " +
