--- a/src/cluster/cluster_member.cpp
+++ b/src/cluster/cluster_member.cpp
@@ -11,9 +11,9 @@
 using audit::ContentVersion;
 using audit::VersionPart;
 
-constexpr Seconds kReviewIntervalInGraces =
-    0.1;  // interval between two reviews, as a fraction of the audit's grace
-constexpr Seconds kMaxReviewInterval = 1;  // s
+// Interval between two reviews, as a fraction of the audit's grace, and its limit.
+constexpr Seconds kReviewIntervalInGraces = 0.1;
+constexpr Seconds kMaxReviewInterval = 1;
 
 // Returns an id for a new data folder. It is not drawn from the configured seed: a machine that
 // lost its disk and starts with the same seed would draw the same id, and would be taken for the
@@ -153,7 +153,7 @@
         }
     }
     if (leased_tasks_) {
-        leased_tasks_->ready_endpoints(state_.ready_endpoints());
+        leased_tasks_->set_ready_endpoint_count(state_.count_ready_endpoints());
     }
     if (kind == EndpointListKind::changes) {
         audit_log_.add_drains(drains);
@@ -187,7 +187,7 @@
 
 void ClusterMember::attempted(const EndpointId& endpoint) {
     if (leased_tasks_) {
-        leased_tasks_->attempted();
+        leased_tasks_->add_attempt();
     }
     audit_log_.add_attempt(state_.runs_trial_build(endpoint));
 }
--- a/src/net/endpoint_connection.cpp
+++ b/src/net/endpoint_connection.cpp
@@ -9,9 +9,9 @@
 namespace tideline::net {
 namespace {
 
-// SQLSTATE of an endpoint that has too much to do.
+// SQLSTATE with which an overloaded endpoint rejects a statement.
 constexpr std::string_view kOverloadedSqlstate = "53300";
-// The parameter in which endpoints report their load.
+// Name of the parameter in which endpoints report their load.
 constexpr std::string_view kLoadParameter = "vitals";
 
 }  // namespace
@@ -37,9 +37,9 @@
     put(pg::startup("svc", "main"));
 }
 
-// Nothing in a row names its request, so a message that comes unasked, such as a duplicate answer,
-// would be taken for the answer to the next statement. It ends the connection in whatever state,
-// but behind an answer that is held: there it is the response to the statement under way.
+// A row does not identify its request, so an unsolicited message, such as a duplicate answer, would
+// be taken for the answer to the next statement. Therefore it ends the connection in any state. The
+// exception is a message that follows a held answer: that is the response to the current statement.
 void EndpointConnection::on_received() {
     while (!closed() && !in_.empty()) {
         if (state_ == State::idle && holds_answer_) {
@@ -59,7 +59,7 @@
     }
 }
 
-// The response is read whole, and perhaps more.
+// Called when the response has been read completely; further bytes may follow it.
 void EndpointConnection::finish_response() {
     state_ = State::idle;
     acknowledge_at_once();
@@ -75,8 +75,8 @@
     owner_.connection_free(number_);
 }
 
-// What was held was a duplicate of the answer before: the endpoint answers in order. No further
-// statement is sent on this connection.
+// Endpoints answer in order, so a response that follows a held answer shows that the held one was a
+// duplicate of the previous answer. No further statement is sent on this connection.
 void EndpointConnection::replace_held_answer() {
     holds_answer_ = false;
     last_response_ = true;
@@ -110,7 +110,7 @@
     return Step::handled;
 }
 
-// A statement may have run only if its last byte was written.
+// The endpoint can have run the statement only if its last byte was written.
 void EndpointConnection::on_closed() {
     const bool written = exchange_ != 0 && all_written();
     owner_.connection_failed(number_, written ? Outcome::broken : Outcome::unreachable);
@@ -120,11 +120,12 @@
     owner_.connection_failed(number_, Outcome::malformed);
 }
 
-// Whether the first bytes can begin the next message. Checked before the message is whole: an
-// answer whose length is given as 3 GB would be waited for in vain.
+// Returns whether the first bytes can begin the next message. This is checked before the message is
+// complete: otherwise the connection would wait in vain for a message with a bogus length of, say,
+// 3 GB.
 bool EndpointConnection::can_begin_next(std::string_view bytes) const {
     const char type = bytes[0];
-    const bool short_enough = pg::within(bytes, kMaxNoticeBytes);
+    const bool short_enough = pg::has_body_within(bytes, kMaxNoticeBytes);
     if (type == 'S' || type == 'N') {
         return short_enough;
     }
@@ -137,17 +138,17 @@
             if (type == 'E') {
                 return short_enough;
             }
-            return type == 'D' && pg::begins_value(bytes, kMaxValueBytes);
+            return type == 'D' && pg::can_begin_single_value(bytes, kMaxValueBytes);
         case State::row:
             return (type == 'C' || type == 'E') && short_enough;
         case State::completed:
-            return type == 'Z' && pg::within(bytes, 1);
+            return type == 'Z' && pg::has_body_within(bytes, 1);
         default:
             return false;
     }
 }
 
-// False if the message is malformed.
+// Returns false if the message is malformed.
 bool EndpointConnection::handle_message(char type, std::string_view body,
                                         std::string_view message) {
     switch (type) {
@@ -168,13 +169,13 @@
         case 'T':
             state_ = State::row_description;
             answer_.append(message);
-            return pg::one_column_described(body);
+            return pg::describes_one_column(body);
         case 'D':
             state_ = State::row;
             answer_.append(message);
-            return pg::one_value(body, kMaxValueBytes);
+            return pg::is_single_value(body, kMaxValueBytes);
         case 'C':
-            if (!pg::one_text(body)) {
+            if (!pg::is_single_text(body)) {
                 return false;
             }
             answer_.append(message);
@@ -185,13 +186,14 @@
     }
 }
 
-// An unreadable parameter costs the connection, not the answer that it came with.
+// A malformed parameter ends the connection after the response, but the answer itself is still
+// used.
 void EndpointConnection::handle_parameter(std::string_view body) {
-    const auto parameter = pg::parameter(body);
+    const auto parameter = pg::parse_parameter_status(body);
     if (!parameter) {
         last_response_ = true;
     } else if (parameter->first == kLoadParameter) {
-        load_ = pg::load(parameter->second);
+        load_ = pg::parse_load_report(parameter->second);
     }
 }
 
@@ -206,7 +208,7 @@
         owner_.connection_failed(number_, overloaded ? Outcome::overloaded : Outcome::unreachable);
     } else if (overloaded) {
         end_exchange(Outcome::overloaded);
-    } else if (pg::blames_statement(sqlstate)) {
+    } else if (pg::is_statement_error(sqlstate)) {
         end_exchange(Outcome::never_sent);
     } else {
         end_exchange(Outcome::failed);
@@ -214,8 +216,9 @@
     return true;
 }
 
-// An answer that equals the one before it on this connection may be a duplicate of that, which came
-// after the next statement was written. It is held, unless endpoints are known to repeat it.
+// An answer that equals the previous one on this connection may be a duplicate of it that arrived
+// after the next statement was written. It is held, unless endpoints are known to repeat this
+// answer.
 void EndpointConnection::complete_answer() {
     const AnswerDigest digest = digest_of(answer_);
     const bool may_be_duplicate =
