--- a/src/cli/audit.hpp
+++ b/src/cli/audit.hpp
@@ -1,4 +1,5 @@
-// `tideline audit` and `tideline members`: ask any member, print what it answers for the cluster.
+// `tideline audit` and `tideline members`: query any member and print what it reports about the
+// whole cluster.
 #pragma once
 
 #include <optional>
@@ -10,16 +11,17 @@
 
 struct AuditCommand {
     std::string address;  // host:port of any member
-    bool audit = true;    // with the versions that each acts on; else only the members
+    bool audit = true;    // also show the versions that each member acts on
     bool json = false;
     Seconds timeout = 10;
-    std::optional<double> since;  // Unix time; below 0: so many seconds ago
-    std::optional<int> build;
+    // Shows the epochs that ended later: a Unix time, or if negative, seconds relative to now.
+    std::optional<double> since;
+    std::optional<int> build;  // show the epochs that acted on this build
 };
 
-// The exit status: 0 all current, 1 members lag behind or have a broken history, 2 some could not
-// be asked. Throws std::runtime_error, with one line for the operator, where the address is
-// malformed.
+// Prints the members and returns the exit status: 0 if all are current, 1 if members lag behind or
+// have a broken history, 2 if some could not be queried. Throws std::runtime_error with a one-line
+// message if the address is malformed.
 int show_members(const AuditCommand& command);
 
 }  // namespace tideline::cli
--- a/src/cli/check.cpp
+++ b/src/cli/check.cpp
@@ -18,7 +18,8 @@
         return 2;
     }
     const std::string text{std::istreambuf_iterator<char>(file), {}};
-    // A planner's file has the group `planner`; any other file is read as one of the cluster.
+    // The operator file of a planner has the group `planner`; any other file is read as the
+    // operator file of a cluster member.
     const bool planner = std::regex_search(text, std::regex("(^|\\n)\\s*planner\\s*[=:]"));
     cluster::ClusterConfig cluster_config;
     planner::PlannerConfig planner_config;
--- a/src/cli/check.hpp
+++ b/src/cli/check.hpp
@@ -5,7 +5,7 @@
 
 namespace tideline::cli {
 
-// The exit status: 0 the file is valid, 1 it has errors, 2 it can't be read.
+// Returns the exit status: 0 if the file is valid, 1 if it has errors, 2 if it can't be read.
 int check_operator_file(const std::string& path);
 
 }  // namespace tideline::cli
--- a/src/cli/lease.cpp
+++ b/src/cli/lease.cpp
@@ -101,7 +101,7 @@
                    held ? std::to_string(lease.now().fence()) : "-", utc_text(lease.now().from()),
                    held ? fmt::format("{:.1f} s", lease.left()) : "-", waiting,
                    lease.withdrawn()
-                       ? " (taken away: the next gets it once its holder's time is over)"
+                       ? " (revoked: the next candidate acquires it once it has expired)"
                        : "");
         const std::vector<wire::HoldingState> newest_first(lease.past().rbegin(),
                                                            lease.past().rend());
@@ -142,7 +142,8 @@
     return request;
 }
 
-// Nothing if there is no valid answer in time; the reason is printed then.
+// Sends the request to the planner. If no valid answer arrives in time, prints the reason and
+// returns nothing.
 std::optional<wire::LeaseAnswer> ask_planner(const LeaseCommand& command,
                                              const net::Address& address) {
     net::EventLoop loop;
@@ -160,7 +161,7 @@
     return query.answer;
 }
 
-// The exit status.
+// Prints the table and returns the exit status.
 int show_table(const LeaseCommand& command, const wire::PlannerTable& table) {
     if (table.stale()) {
         fmt::print(stderr, "tideline: {} knows of no leader: the table may be stale\n",
@@ -193,10 +194,12 @@
         case LeaseCommand::Action::list_planners:
             return show_table(command, answer->table());
         case LeaseCommand::Action::revoke:
-            fmt::print("revoked: renewed no more; granted anew once its holder's time is over\n");
+            fmt::print(
+                "revoked: the lease is no longer renewed; it is granted again once it has "
+                "expired\n");
             break;
         case LeaseCommand::Action::admit:
-            fmt::print("admitted: it catches up first, then votes\n");
+            fmt::print("admitted: the planner catches up first and then votes\n");
             break;
         case LeaseCommand::Action::remove:
             fmt::print("removed\n");
--- a/src/cli/lease.hpp
+++ b/src/cli/lease.hpp
@@ -1,4 +1,4 @@
-// `tideline lease` and `tideline planners`: what operators ask of the planners.
+// `tideline lease` and `tideline planners`: the requests of operators to the planners.
 #pragma once
 
 #include <string>
@@ -11,13 +11,14 @@
     enum class Action { list_leases, revoke, list_planners, admit, remove };
     Action action = Action::list_leases;
     std::string address;  // host:port of any planner
-    std::string name;     // of the lease to revoke, or of the planner to admit or remove
+    std::string name;     // name of the lease to revoke, or of the planner to admit or remove
     bool json = false;
     Seconds timeout = 5;
 };
 
-// The exit status: 0 done, 1 refused, 2 could not be asked, or the answer may be stale. Throws
-// std::runtime_error, with one line for the operator, where the address is malformed.
+// Sends the request and prints the answer. Returns the exit status: 0 if it was done, 1 if it was
+// refused, 2 if the planner could not be queried or its answer may be stale. Throws
+// std::runtime_error with a one-line message if the address is malformed.
 int run_lease_command(const LeaseCommand& command);
 
 }  // namespace tideline::cli
--- a/src/cli/planner.cpp
+++ b/src/cli/planner.cpp
@@ -12,7 +12,8 @@
 
 constexpr int kExitFatal = 3;
 
-// At SIGHUP: a planner takes its configuration up at a start only, and says whether one is needed.
+// Handles SIGHUP. A planner applies its configuration only when it starts, so this only logs
+// whether the file is valid and whether a restart is needed to apply it.
 void check_reload(const std::string& path, const planner::PlannerConfig& started, net::Log& log) {
     try {
         const bool changed = planner::planner_config_of(path) != started;
@@ -30,7 +31,8 @@
     google::protobuf::SetLogHandler(nullptr);
     net::EventLoop loop;
     Signals signals(loop);
-    // Two disks may never draw the same number: so this one is not configurable.
+    // The planner draws the id of its disk from this seed. No two disks may have the same id, so
+    // the seed is not configurable.
     std::random_device device;
     const std::uint64_t seed = (static_cast<std::uint64_t>(device()) << 32) | device();
     planner::Planner planner(loop, log, planner_config, command.founds_cluster, seed);
@@ -46,7 +48,7 @@
         log.alarm("planner: ends, it can't promise any more: {}", planner.fatal_error());
     }
     if (signals.shutdown_requested) {
-        log.line("planner: asked to end");
+        log.line("planner: shutdown requested by a signal");
     }
     log.flush();
     return planner.fatal_error().empty() ? 0 : kExitFatal;
--- a/src/cli/planner.hpp
+++ b/src/cli/planner.hpp
@@ -1,4 +1,4 @@
-// `tideline planner`: one planner process, from its operator file to its end.
+// `tideline planner`: runs one planner process until it is asked to end.
 #pragma once
 
 #include <string>
@@ -8,13 +8,14 @@
 namespace tideline::cli {
 
 struct PlannerCommand {
-    std::string config_path;      // the operator file
-    bool founds_cluster = false;  // the first planner of a new cluster
+    std::string config_path;      // path of the operator file
+    bool founds_cluster = false;  // start a new cluster with this planner as its first
     net::Log::Form log = net::Log::Form::lines;
 };
 
-// The exit status: 0 asked to end, 3 its disk failed or it may not go on. Throws std::runtime_error
-// with one plain line where it can't start.
+// Runs the planner until SIGTERM, SIGINT or a fatal error. Returns the exit status: 0 if it was
+// asked to end, 3 if its disk failed or it must not continue. Throws std::runtime_error with a
+// one-line message if it can't start.
 int run_planner(const PlannerCommand& command);
 
 }  // namespace tideline::cli
--- a/src/cli/query.hpp
+++ b/src/cli/query.hpp
@@ -1,4 +1,4 @@
-// What the sub-commands that ask a member or a planner have in common.
+// Helpers of the sub-commands that query a member or a planner.
 #pragma once
 
 #include <fmt/format.h>
@@ -10,7 +10,8 @@
 
 namespace tideline::cli {
 
-// Throws std::runtime_error, with one line for the operator, if `text` is no address.
+// Parses `text` as an address. Throws std::runtime_error with a one-line message if it is
+// malformed.
 inline net::Address query_address(const std::string& text) {
     const auto address = net::address_of(text);
     if (!address) {
@@ -20,8 +21,8 @@
     return *address;
 }
 
-// Executes the loop until the query has finished or `timeout` seconds are over, which becomes its
-// error if it has none. The connection is closed then.
+// Executes the event loop until the query has finished or `timeout` seconds have passed, then
+// closes its connection. A time-out becomes the error of the query unless it already has one.
 inline void await_answer(net::EventLoop& loop, cluster::QueryConnection& query, Seconds timeout) {
     loop.timers.at(net::clock_now() + timeout, [&query, timeout] {
         query.finished = true;
--- a/src/cli/replication.cpp
+++ b/src/cli/replication.cpp
@@ -41,7 +41,8 @@
     return request;
 }
 
-// Nothing if there is no answer in time; the reason is printed then.
+// Sends the request to the member. If no answer arrives in time, prints the reason and returns
+// nothing.
 std::optional<wire::Holdings> ask_member(const ReplicationCommand& command,
                                          const net::Address& address) {
     net::EventLoop loop;
@@ -54,7 +55,7 @@
     return query.answer;
 }
 
-// Prints what kept the member from a full answer, if anything did. Whether something did.
+// Prints why the member could not answer in full, if it gave a reason. Returns whether it did.
 bool report_obstacle(const wire::Holdings& answer) {
     if (answer.why().empty()) {
         return false;
@@ -88,7 +89,7 @@
     const std::vector<audit::Record> epochs = replicated_epochs(answer);
     print_answer(command, epochs);
     if (epochs.empty()) {
-        fmt::print(stderr, "tideline: --epochs {}: no other member keeps epochs of it\n",
+        fmt::print(stderr, "tideline: --epochs {}: no other member stores epochs of this member\n",
                    command.epochs_of);
     }
     const bool incomplete = report_obstacle(answer);
@@ -123,7 +124,7 @@
     if (command.removed_member.empty()) {
         return show_status(command, *answer);
     }
-    fmt::print("{} is notified: the replicas of {} count as lost\n", answer->steward(),
+    fmt::print("{} was notified that the replicas of {} count as lost\n", answer->steward(),
                command.removed_member);
     return kDone;
 }
--- a/src/cli/replication_json.hpp
+++ b/src/cli/replication_json.hpp
@@ -1,5 +1,5 @@
-// `tideline replication --json`: what a member answers, as JSON. The keys are an interface for
-// scripts and keep their names. Does no I/O.
+// `tideline replication --json`: converts the answer of a member to JSON. Scripts read the keys, so
+// their names must not change. Does no I/O.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -12,7 +12,7 @@
 namespace tideline::cli {
 
 nlohmann::ordered_json json_of(const ReplicationStatus& status);
-// Nothing: no attempt is known.
+// An empty `record` means that no attempt of the request is known.
 nlohmann::ordered_json json_of(const std::optional<replication::Record>& record);
 nlohmann::ordered_json json_of(const std::vector<audit::Record>& epochs);
 
--- a/src/cli/replication_status.cpp
+++ b/src/cli/replication_status.cpp
@@ -60,7 +60,7 @@
     return counts;
 }
 
-// Sums what is left to repair over all reports.
+// Estimates from all reports how much data is left to repair, and for how long.
 void estimate_repair(ReplicationStatus& status) {
     std::uint64_t bytes = 0;
     std::uint64_t records = 0;
--- a/src/cli/replication_text.cpp
+++ b/src/cli/replication_text.cpp
@@ -77,7 +77,7 @@
     }
 }
 
-// Only the shards that are not as they should be.
+// Prints only the shards that lack replicas, have a replica that is catching up, or have lost data.
 void print_shards(const ReplicaTable& table) {
     for (std::uint32_t shard = 0; shard < table.shards.size(); ++shard) {
         const ReplicaSet& replica_set = table.shards[shard];
--- a/src/cli/replication_text.hpp
+++ b/src/cli/replication_text.hpp
@@ -1,4 +1,4 @@
-// `tideline replication`: prints what a member answers as text, on standard output.
+// `tideline replication`: prints the answer of a member as text on standard output.
 #pragma once
 
 #include <optional>
@@ -10,7 +10,7 @@
 namespace tideline::cli {
 
 void print(const ReplicationStatus& status);
-// Nothing: no attempt is known.
+// An empty `record` means that no attempt of the request is known.
 void print(const std::optional<replication::Record>& record);
 void print(const std::vector<audit::Record>& epochs);
 
--- a/src/cli/sidecar.cpp
+++ b/src/cli/sidecar.cpp
@@ -13,9 +13,9 @@
 
 using namespace tideline::net;
 
-// Reads the configuration again at SIGHUP. The file may be missing, half written or wrong: then the
-// present configuration stays in use, and the file is read again after a backoff, without another
-// line in the log.
+// Reloads the configuration at SIGHUP. If the file is missing, incomplete or invalid, the present
+// configuration stays in use and the file is read again after a backoff. Only the first failure is
+// logged.
 class ConfigurationReload {
   public:
     ConfigurationReload(EventLoop& loop, Log& log, Sidecar& sidecar, cluster::ClusterMember* member,
@@ -37,8 +37,8 @@
     void attempt(bool first) {
         retry_timer_ = Timers::kNone;
         try {
-            // Both files are read before either is applied: else one could be applied and the other
-            // rejected.
+            // Both files are read before either is applied, so that an error in one of them leaves
+            // both unapplied.
             const SidecarConfig config = read_sidecar_config(command_.config_path);
             if (member_) {
                 member_->apply_config(cluster::cluster_config_of(command_.cluster_config_path));
@@ -58,11 +58,12 @@
     cluster::ClusterMember* const member_;
     const SidecarCommand command_;
     Seconds backoff_ = kInitialReconnectBackoff;
-    Seconds asked_at_ = 0;  // the signal came no earlier
+    Seconds asked_at_ = 0;  // the signal arrived at this time or later
     Timers::Id retry_timer_ = Timers::kNone;
 };
 
-constexpr Seconds kMaxSettleTime = 0.5;  // s: a graceful shutdown waits no longer for other members
+constexpr Seconds kMaxSettleTime =
+    0.5;  // s: a graceful shutdown waits at most this long for other members
 
 slow_start::SlowStartSettings slow_start_settings(const SidecarConfig& config) {
     slow_start::SlowStartSettings settings;
@@ -73,8 +74,8 @@
     return settings;
 }
 
-// For how long the effect log needs the records of a request class, in s; 0: it needs none.
-// `prefix`: of the settings of the class, as operations.0.
+// Returns for how long the effect log has to keep the records of a request class, in s; 0 if it
+// needs none. `prefix` is the prefix of the settings of the class, such as operations.0.
 Seconds needed_retention(const SidecarConfig& config, const std::string& prefix) {
     const auto effect = config.settings.find(prefix + ".effect");
     if (effect == config.settings.end() || effect->second == Setting{std::string("idempotent")}) {
@@ -87,8 +88,9 @@
     return repeat_window + config.need(prefix + ".time_limit");
 }
 
-// Effects have to be kept for at least as long as endpoints recognise repeats: after a shorter time
-// a late repeat would take effect again.
+// Throws std::runtime_error if the effect log keeps records for a shorter time than some request
+// class needs. Records have to be kept for at least as long as endpoints recognise repeats: after a
+// shorter time a late repeat would take effect again.
 void check_retention(const SidecarConfig& config, const cluster::ClusterConfig& cluster_config) {
     if (!cluster_config.replication.enabled) {
         return;
@@ -99,10 +101,10 @@
         const std::string prefix = "operations." + std::to_string(i);
         const Seconds needed = needed_retention(config, prefix);
         if (retention < needed) {
-            throw std::runtime_error(
-                fmt::format("copies.keep is {} s; allowed are at least the {} s that {} needs: its "
-                            "repeat_window and its time_limit",
-                            retention, needed, prefix));
+            throw std::runtime_error(fmt::format(
+                "copies.keep is {} s, but has to be at least the {} s that {} needs: the "
+                "sum of its repeat_window and its time_limit",
+                retention, needed, prefix));
         }
     }
 }
@@ -132,7 +134,8 @@
     ConfigurationReload reload(loop, log, sidecar, member.get(), command);
     bool ending = false;
     Seconds done_since = 0;
-    // The outcome of the last attempts is sent to the other members first, for a limited time.
+    // Before the process ends, the outcomes of the last attempts are sent to the other members, for
+    // a limited time.
     const auto done = [&] {
         if (!sidecar.done()) {
             return false;
--- a/src/cli/sidecar.hpp
+++ b/src/cli/sidecar.hpp
@@ -1,4 +1,4 @@
-// `tideline sidecar`: one sidecar process, from its configuration to its graceful shutdown.
+// `tideline sidecar`: runs one sidecar process until its graceful shutdown.
 #pragma once
 
 #include <string>
@@ -8,12 +8,12 @@
 namespace tideline::cli {
 
 struct SidecarCommand {
-    std::string config_path;          // the configuration
-    std::string cluster_config_path;  // operator file of the cluster; empty: it joins no cluster
+    std::string config_path;          // path of the configuration, a JSON file
+    std::string cluster_config_path;  // operator file of the cluster; empty: joins none
     net::Log::Form log = net::Log::Form::lines;
 };
 
-// The exit status. Throws std::runtime_error, with one line for the operator, where it can't start.
+// Returns the exit status. Throws std::runtime_error with a one-line message if it can't start.
 int run_sidecar(const SidecarCommand& command);
 
 }  // namespace tideline::cli
--- a/src/cli/signals.hpp
+++ b/src/cli/signals.hpp
@@ -1,4 +1,4 @@
-// SIGTERM, SIGINT and SIGHUP as events of the loop; SIGPIPE is ignored.
+// Delivers SIGTERM, SIGINT and SIGHUP as events of the event loop, and ignores SIGPIPE.
 #pragma once
 
 #include <sys/signalfd.h>
@@ -11,8 +11,9 @@
 
 namespace tideline::cli {
 
-// Blocks the signals for the whole process: at most one object, made before any thread. The flags
-// are set from the loop, and cleared by their reader.
+// Blocks the signals for the whole process, so at most one object may exist, and it has to be
+// created before any thread is started. The event loop sets the flags; the code that reads a flag
+// clears it.
 class Signals : public net::Watcher {
   public:
     explicit Signals(net::EventLoop& loop) : loop_(loop) {
@@ -47,8 +48,8 @@
         }
     }
 
-    bool shutdown_requested = false;  // SIGTERM or SIGINT has come
-    bool reload_requested = false;    // SIGHUP has come
+    bool shutdown_requested = false;  // SIGTERM or SIGINT has arrived
+    bool reload_requested = false;    // SIGHUP has arrived
 
   private:
     net::EventLoop& loop_;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,4 @@
-// tideline: the command line. Each sub-command has a file of its own under cli/.
+// The command line of tideline. Each sub-command is implemented in a file of its own under cli/.
 #include <CLI/CLI.hpp>
 #include <cstdio>
 #include <exception>
@@ -33,7 +33,8 @@
     add_log_format(app, command.log);
 }
 
-// Options of every sub-command that asks a member or a planner; `asked` says which, for the help.
+// Adds the options of every sub-command that queries a member or a planner. `asked` names the kind
+// of process that is queried, for the help text.
 void add_query_options(CLI::App& app, std::string& address, Seconds& timeout,
                        const std::string& asked) {
     app.add_option("--address,--at", address, "host:port of any " + asked)->required();
@@ -51,7 +52,7 @@
     add_json_flag(app, command.json);
 }
 
-// The sub-commands and what they were given.
+// Defines the sub-commands, holds the values of their options and executes the one that was given.
 class CommandLine {
   public:
     CommandLine() : app_("Routes requests over endpoints and judges builds on trial.", "tideline") {
@@ -68,11 +69,11 @@
     void parse(int argc, char** argv) {
         app_.parse(argc, argv);
     }
-    // Prints the error, or the help that was asked for. The exit status.
+    // Prints the error, or the help text if that was requested. Returns the exit status.
     int report(const CLI::ParseError& error) {
         return app_.exit(error) == 0 ? 0 : kExitUsage;
     }
-    // Executes the sub-command. The exit status.
+    // Executes the given sub-command; without one, runs a sidecar. Returns the exit status.
     int run();
 
   private:
@@ -112,29 +113,32 @@
 }
 
 void CommandLine::add_member_queries() {
-    audit_ = app_.add_subcommand("audit",
-                                 "the versions that each member acts on; status 1: members lag "
-                                 "behind, 2: some could not be asked");
+    audit_ =
+        app_.add_subcommand("audit",
+                            "show the versions that each member acts on; exit status 1: members "
+                            "lag behind, 2: some members could not be queried");
     add_member_options(*audit_, audit_command_);
     audit_->add_option("--since", audit_command_.since,
-                       "show epochs that ended after this Unix time, or -SECONDS ago");
+                       "show epochs that ended after this Unix time; a negative value counts back "
+                       "from now, in seconds");
     audit_->add_option("--build", audit_command_.build, "show epochs that acted on this build");
-    members_ = app_.add_subcommand("members", "the members, as one of them knows them");
+    members_ = app_.add_subcommand("members", "list the members as one of them knows them");
     add_member_options(*members_, audit_command_);
 }
 
 void CommandLine::add_replication() {
     replication_ = app_.add_subcommand("replication",
-                                       "the replicas of each shard, and their repair; status 1: "
-                                       "replicas are missing, 2: shards are unavailable");
+                                       "show the replicas of each shard and their repair; exit "
+                                       "status 1: replicas are missing, 2: shards are unavailable");
     replication_->alias("holdings");
     add_member_options(*replication_, replication_command_);
     replication_->add_option("--key", replication_command_.key,
                              "OPERATION,CUSTOMER,FINGERPRINT: show the record of one request");
     replication_->add_option("--epochs", replication_command_.epochs_of,
-                             "a member: show its audit epochs, as other members keep them");
-    replication_->add_option("--remove-member,--give-up", replication_command_.removed_member,
-                             "a member that will not come back: its replicas count as lost");
+                             "name of a member: show its audit epochs as other members store them");
+    replication_->add_option(
+        "--remove-member,--give-up", replication_command_.removed_member,
+        "name of a member that will not come back: its replicas count as lost");
 }
 
 void CommandLine::add_check() {
@@ -143,16 +147,19 @@
 }
 
 void CommandLine::add_planner() {
-    planner_ = app_.add_subcommand("planner",
-                                   "run one planner, which replicates the leases with the others");
-    planner_->add_option("--config,--file", planner_command_.config_path, "its operator file")
+    planner_ = app_.add_subcommand(
+        "planner", "run one planner, which replicates the leases with the other planners");
+    planner_
+        ->add_option("--config,--file", planner_command_.config_path,
+                     "operator file of the planner")
         ->required();
-    planner_->add_flag("--bootstrap,--found", planner_command_.founds_cluster,
-                       "start a new cluster as its first planner; its folder has to be empty");
+    planner_->add_flag(
+        "--bootstrap,--found", planner_command_.founds_cluster,
+        "start a new cluster with this planner as its first; its folder has to be empty");
     add_log_format(*planner_, planner_command_.log);
 }
 
-// Adds a sub-command that asks a planner.
+// Adds a sub-command that sends a request to a planner. Parsing it sets the action.
 CLI::App& CommandLine::add_planner_query(CLI::App& parent, const std::string& name,
                                          const std::string& help, LeaseAction action) {
     CLI::App* query = parent.add_subcommand(name, help);
@@ -162,21 +169,21 @@
 }
 
 void CommandLine::add_lease_queries() {
-    leases_ = app_.add_subcommand("lease", "the leases of the cluster's tasks and their holders");
+    leases_ = app_.add_subcommand("lease", "show or revoke the leases of the cluster's tasks");
     leases_->require_subcommand(1);
     CLI::App& list =
         add_planner_query(*leases_, "list", "holders, fencing tokens, candidates, former holders",
                           LeaseAction::list_leases);
     add_json_flag(list, lease_command_.json);
     CLI::App& revoke = add_planner_query(
-        *leases_, "revoke", "renew a lease no more; another member gets it once it has expired",
+        *leases_, "revoke", "stop renewing a lease; another member acquires it once it has expired",
         LeaseAction::revoke);
     revoke.alias("take-away");
     revoke.add_option("name", lease_command_.name, "the lease")->required();
 }
 
 void CommandLine::add_planner_queries() {
-    planners_ = app_.add_subcommand("planners", "the planners and their membership");
+    planners_ = app_.add_subcommand("planners", "show the planners, admit or remove one");
     planners_->require_subcommand(1);
     CLI::App& list = add_planner_query(
         *planners_, "list", "voters, the leader, unreachable planners, planners to be admitted",
--- a/tests/soak/audit_test.cpp
+++ b/tests/soak/audit_test.cpp
@@ -1,4 +1,4 @@
-// The soak's auditor: each of its sums broken on purpose once.
+// Breaks each rule of the soak's auditor once and checks that the auditor reports that rule alone.
 #include "soak/audit.hpp"
 
 #include <catch2/catch.hpp>
--- a/tools/demo/machine_loss.cpp
+++ b/tools/demo/machine_loss.cpp
@@ -28,13 +28,14 @@
 }
 namespace {
 
-// The client of a request retries at n2 until it has the answer. True where the request took effect
-// once, and its client has the answer; that of a charge may not be known.
+// Retries a request at n2 until its client has the answer, a few times at most. Returns whether the
+// request took effect exactly once and its client has the answer. A charge needs no answer, since
+// its outcome may be unknown.
 bool retry_elsewhere(net::EventLoop& loop, RepeatingClients& clients, const Effects& effects,
                      std::size_t request_index) {
     CallResult result = CallResult::nothing;
     const Seconds until = net::clock_now() + 8;
-    // Until n1 is known as gone, the answer is that the request may have run.
+    // Until n2 knows that n1 is gone, it answers that the request may have run.
     for (int tries = 0; result != CallResult::succeeded && net::clock_now() < until && tries < 4;
          ++tries) {
         clients.retry(request_index, 2);
@@ -44,12 +45,12 @@
     const RepeatedRequest& request = clients.requests[request_index];
     const auto ran = effects.by_key.find(request.key);
     const std::size_t times = ran == effects.by_key.end() ? 0 : ran->second.size();
-    fmt::print("{}: asked again at n2, {} times: {}; it took effect {}\n", request.request_class,
+    fmt::print("{}: retried at n2, {} times: {}; it took effect {}\n", request.request_class,
                request.attempts.size() - 1,
                result == CallResult::succeeded
                    ? "succeeded, with the answer \"" + request.attempts.back().answer + "\""
                : result == CallResult::failed
-                   ? "terminated: it may have run, and has no fingerprint that pods know"
+                   ? "terminated: it may have run, and has no fingerprint that endpoints recognise"
                    : "throttled or not answered",
                times == 1 ? "once" : fmt::format("{} times", times));
     return times == 1 && (result == CallResult::succeeded || request.request_class == "charge");
@@ -79,9 +80,8 @@
     machine.wait();
     std::filesystem::remove_all(folder + "/n1.disk");
     fmt::print(
-        "\nthe machine of n1 is lost with its disk, a charge and an instalment of its clients at "
-        "slow "
-        "pods\n");
+        "\nthe machine of n1 is lost with its disk while a charge and an instalment of its clients "
+        "run at slow endpoints\n");
     for (auto& endpoint : endpoints) {
         endpoint->min_latency = 0.004;
         endpoint->max_latency = 0.012;
@@ -92,7 +92,7 @@
     }
     ask(options,
         fmt::format("holdings --key instalment,desk,{}", clients.requests[submitted[1]].key));
-    // The others repair the replicas; n1 is not started again.
+    // The other members repair the replicas; n1 is not started again.
     const Seconds until = net::clock_now() + 15;
     while (net::clock_now() < until &&
            std::system(fmt::format("{} holdings --at {} >/dev/null", options.program,
--- a/tools/demo/machine_loss.hpp
+++ b/tools/demo/machine_loss.hpp
@@ -13,11 +13,13 @@
 
 // Executes the event loop for `span` seconds.
 void pass_for(net::EventLoop& loop, Seconds span);
-// Executes a command of the program against the first sidecar, its output shown; the exit status.
+// Runs a sub-command of tideline against the first sidecar and shows its output. Returns its exit
+// status.
 int ask(const Options& options, const std::string& command);
-// A charge and an instalment are at slow endpoints when the machine of their sidecar, n1, is lost
-// with its disk; their clients retry at n2. Prints the outcome of each. True where each took effect
-// once, its client has the answer it may have, and all replicas are complete again.
+// Kills the sidecar n1 and removes its disk while a charge and an instalment that it has taken run
+// at slow endpoints; their clients retry at n2. Prints the outcome of each. Returns whether each
+// took effect exactly once, the client of the instalment has its answer, and all replicas are
+// complete again.
 bool lose_a_machine(const Options& options, const std::string& folder, net::EventLoop& loop,
                     const fakes::Effects& effects,
                     std::vector<std::unique_ptr<fakes::FakeEndpoint>>& endpoints,
--- a/tools/demo/main.cpp
+++ b/tools/demo/main.cpp
@@ -1,5 +1,6 @@
-// `make try`: sidecars between fakes of endpoints, discovery, release platform and clients, a
-// rollout, and a table of the outcome. Loopback only; ends by itself.
+// The demonstration that `make try` runs: sidecars between fake endpoints, discovery, release
+// platform and clients, the rollout of a new build, and a table of the outcome. It uses only
+// loopback addresses and ends by itself.
 #include <fmt/format.h>
 
 #include <CLI/CLI.hpp>
@@ -11,27 +12,31 @@
 
 int main(int argc, char** argv) {
     Options options;
-    CLI::App app("Sidecars between stand-ins, through a rollout.", "tideline_demo");
-    app.add_option("--program", options.program, "the sidecar's program")
+    CLI::App app("Runs sidecars between fakes through the rollout of a new build.",
+                 "tideline_demo");
+    app.add_option("--program", options.program, "path of the tideline program")
         ->check(CLI::ExistingFile)
         ->capture_default_str();
-    app.add_option("--sidecars", options.sidecars, "how many")
+    app.add_option("--sidecars", options.sidecars, "number of sidecars")
         ->check(CLI::Range(1, 20))
         ->capture_default_str();
-    app.add_option("--rate", options.rate, "invocations a second and sidecar")
+    app.add_option("--rate", options.rate, "requests per second and sidecar")
         ->check(CLI::Range(1, 500))
         ->capture_default_str();
     app.add_option("--length", options.length, "seconds")
         ->check(CLI::Range(6, 120))
         ->capture_default_str();
-    app.add_flag("--fleet", options.cluster, "they know of each other; ends with an audit of all");
+    app.add_flag("--fleet", options.cluster,
+                 "join the sidecars into a cluster and audit it at the end");
     app.add_option("--planners", options.planners,
-                   "with --fleet: so many, and a list of who holds what")
+                   "number of planners; implies --fleet, and lists the leases at the end")
         ->check(CLI::Range(0, 9))
         ->capture_default_str();
-    app.add_flag("--bad", options.trial_fails, "the new build fails 40% of its dispatches");
+    app.add_flag("--bad", options.trial_fails, "the new build fails 40% of its attempts");
     app.add_option("--copies", options.replicas,
-                   "with --planners: of what each sidecar holds; ends with a lost machine")
+                   "replicas of each shard of the effect log; needs --planners, and ends with the "
+                   "loss of a "
+                   "machine")
         ->check(CLI::Range(0, 5))
         ->capture_default_str();
     CLI11_PARSE(app, argc, argv);
--- a/tools/demo/rollout.cpp
+++ b/tools/demo/rollout.cpp
@@ -31,11 +31,12 @@
     return values[static_cast<std::size_t>(quantile * static_cast<double>(values.size() - 1))];
 }
 
-// The processes of one demonstration, the fakes around them, and the steps in their order.
+// Owns the processes of one demonstration and the fakes around them.
 class Rollout {
   public:
     explicit Rollout(const Options& options);
-    // Each step prints what it shows.
+    // The steps of the demonstration, in the order in which they have to be called. Those that have
+    // results print them.
     void start_planners();
     void start_sidecars();
     void wait_until_placed();
@@ -45,7 +46,7 @@
     void print_leases();
     void lose_machine();
     void stop_processes();
-    // Whether all was as expected; then the folder is removed.
+    // Prints and returns whether everything was as expected, and then removes the folder.
     bool finish();
 
   private:
@@ -79,12 +80,12 @@
 std::string new_folder() {
     char folder[] = "/tmp/tideline-try-XXXXXX";
     if (!::mkdtemp(folder)) {
-        throw std::runtime_error("no folder under /tmp");
+        throw std::runtime_error("can't create a folder under /tmp");
     }
     return folder;
 }
 
-// The exit status of a command; its output is shown below the command.
+// Prints and runs a shell command, which prints its own output. Returns its exit status.
 int show_command(const std::string& command) {
     fmt::print("\n$ {}\n", command);
     std::fflush(stdout);
@@ -103,7 +104,7 @@
         endpoints_.push_back(
             std::make_unique<FakeEndpoint>(loop_, static_cast<std::uint32_t>(host)));
         if (!endpoints_.back()->listen(at_port(host, kEndpointPort))) {
-            throw std::runtime_error("can't listen for pods");
+            throw std::runtime_error("can't listen at the address of a fake endpoint");
         }
         endpoints_.back()->effects = &effects_;
         if (options_.trial_fails && build == kTrialBuild) {
@@ -185,7 +186,8 @@
         const int host = 256 + i;
         if (discovery_.add_listener(at_port(host, kDiscoveryPort)) < 0 ||
             platform_.add_listener(at_port(host, kPlatformPort)) < 0) {
-            throw std::runtime_error("can't listen for list and platform");
+            throw std::runtime_error(
+                "can't listen at the address of the fake discovery or release platform");
         }
         const std::string path = fmt::format("{}/n{}", folder_, i);
         std::ofstream(path + ".json") << sidecar_settings(i).dump(1);
@@ -203,12 +205,14 @@
     pass_for(loop_, 0.5);
     for (const auto& each : sidecars_) {
         if (!each->runs()) {
-            throw std::runtime_error(fmt::format("a sidecar did not start, see {}", folder_));
+            throw std::runtime_error(
+                fmt::format("a sidecar did not start; its log is in {}", folder_));
         }
     }
 }
 
-// Before all replicas are placed nothing that may not run twice is taken.
+// Waits until all replicas are placed. Before that, sidecars reject requests that must not run
+// twice.
 void Rollout::wait_until_placed() {
     const Seconds placed_by = net::clock_now() + (options_.replicas > 0 ? kPlacedWithin : 0);
     while (net::clock_now() < placed_by &&
@@ -225,10 +229,10 @@
     }
     const Seconds start = net::clock_now();
     fmt::print(
-        "{} sidecars, {} pods of build {}, {:.0f} invocations a second; build {} comes after {} "
-        "s{}\n",
+        "{} sidecars, {} endpoints of build {}, {:.0f} requests per second; build {} is offered "
+        "after {} s{}\n",
         options_.sidecars, kEndpointsPerBuild, kCurrentBuild, options_.rate * options_.sidecars,
-        kTrialBuild, kTrialStart, options_.trial_fails ? " and fails 40%" : "");
+        kTrialBuild, kTrialStart, options_.trial_fails ? " and fails 40% of its attempts" : "");
     pass_for(loop_, start + kTrialStart - net::clock_now());
     add_endpoints(kTrialBuild);
     platform_.offer(kTrialBuild);
@@ -282,7 +286,7 @@
     const std::string audit =
         fmt::format("{} audit --at {}", options_.program, text_of(at_port(256, kClusterPort)));
     if (show_command(audit) != 0) {
-        fmt::print("the audit says that not all is well\n");
+        fmt::print("the audit reports members that lag behind or could not be queried\n");
     }
 }
 
@@ -309,7 +313,7 @@
         leases_held_ &= lease_acquired(lease);
     }
     if (!leases_held_) {
-        fmt::print("nobody holds a lease\n");
+        fmt::print("a lease was not acquired, or the planners could not be queried\n");
     }
 }
 
@@ -342,7 +346,8 @@
         failed_exits_ += each->ended() != std::optional<int>(0);
     }
     if (failed_exits_ > 0) {
-        fmt::print("{} processes did not end in order, see {}\n", failed_exits_, folder_);
+        fmt::print("{} processes did not end with status 0; their logs are in {}\n", failed_exits_,
+                   folder_);
     }
 }
 
@@ -355,8 +360,8 @@
     if (passed) {
         std::filesystem::remove_all(folder_);
     }
-    fmt::print("{}\n", passed ? "all as it should be"
-                              : fmt::format("not as it should be; logs in {}", folder_));
+    fmt::print("{}\n", passed ? "the demonstration succeeded"
+                              : fmt::format("the demonstration failed; logs are in {}", folder_));
     return passed;
 }
 
--- a/tools/demo/rollout.hpp
+++ b/tools/demo/rollout.hpp
@@ -5,8 +5,8 @@
 
 namespace tideline::demo {
 
-// Starts all processes, runs the rollout, prints a table of the outcome. Returns the exit status.
-// Throws std::runtime_error where a process does not start.
+// Starts all processes, runs the rollout and prints a table of the outcome. Returns the exit
+// status. Throws std::runtime_error if a process does not start.
 int run(const Options& options);
 
 }  // namespace tideline::demo
--- a/tools/fakes/fake_clients.hpp
+++ b/tools/fakes/fake_clients.hpp
@@ -1,4 +1,4 @@
-// Simulated clients of one sidecar, which send requests at a rate.
+// Simulated clients of one sidecar, which send requests at a given mean rate.
 #pragma once
 
 #include <memory>
@@ -10,7 +10,7 @@
 
 namespace tideline::fakes {
 
-// One request and its outcome, for the checks. Times in seconds of net::clock_now.
+// One request and its outcome, which the checks read. Times in seconds of net::clock_now.
 struct ClientRequest {
     Seconds sent_at = 0;
     Seconds latency = 0;
@@ -19,16 +19,16 @@
     int answers = 0;
 };
 
-// Sends independent requests at random times and keeps the outcome of each in `requests`. Used on
-// the thread of the event loop, which must outlive it.
+// Sends independent requests at random times and keeps the outcome of each in `requests`. Used only
+// on the thread of the event loop, which must outlive it.
 class FakeClients {
   public:
-    // `tenant` goes into each statement, so that endpoints can tell whose request it is.
+    // `tenant` is written into each statement, so that endpoints can tell whose request it is.
     FakeClients(net::EventLoop& loop, net::Address sidecar, std::string tenant, std::uint32_t seed);
     ~FakeClients();
-    void begin(double rate);   // requests a second
-    void stop();               // no further ones
-    std::size_t open() const;  // sent and not answered
+    void begin(double rate);   // starts to send `rate` requests per second
+    void stop();               // sends no further requests
+    std::size_t open() const;  // number of requests that were sent and not answered
     std::vector<ClientRequest> requests;
     Seconds time_limit = 1.5;  // s: the time limit in each statement
 
--- a/tools/fakes/fake_discovery.cpp
+++ b/tools/fakes/fake_discovery.cpp
@@ -60,7 +60,8 @@
     }
     at.muted = muted;
     at.frozen = snapshot();
-    // Sidecars connect again, and get what was kept back.
+    // The connections are closed, so that the sidecars connect again and receive the changes that
+    // were held back.
     if (!muted) {
         at.server.each([&](auto& peer) { at.server.drop(peer.number); });
     }
--- a/tools/fakes/fake_discovery.hpp
+++ b/tools/fakes/fake_discovery.hpp
@@ -12,19 +12,21 @@
 
 namespace tideline::fakes {
 
-// Used on the thread of the event loop, which must outlive it.
+// Used only on the thread of the event loop, which must outlive it.
 class FakeDiscovery {
   public:
     explicit FakeDiscovery(net::EventLoop& loop);
     ~FakeDiscovery();
-    // The listener's number; -1 where the address can't be bound.
+    // Adds a listener and returns its number, or -1 if the address can't be bound.
     int add_listener(const net::Address& address);
-    // A muted listener still sends keep-alives, but no changes, and answers with the list as it
-    // was.
+    // A muted listener still sends keep-alives, but no changes, and answers with the list as it was
+    // when it was muted.
     void mute(int listener, bool muted);
-    // The listener adds this to each revision, which the list then never had.
+    // Makes the listener add `added_revision` to each revision that it streams, so that sidecars
+    // see revisions that the list never had.
     void add_to_revision(int listener, std::int64_t added_revision);
-    void put(const nlohmann::json& member);  // added or changed; sent at once
+    // Adds or changes an endpoint, and sends the change at once.
+    void put(const nlohmann::json& member);
     void remove(const std::string& id);
     nlohmann::json snapshot() const;
     std::int64_t revision() const {
@@ -38,8 +40,8 @@
     net::EventLoop& loop_;
     std::vector<std::unique_ptr<Listener>> listeners_;
     std::map<std::string, nlohmann::json> members_;
-    std::vector<std::pair<std::int64_t, nlohmann::json>>
-        changes_;  // changes, each with its revision
+    // All changes so far, each with its revision.
+    std::vector<std::pair<std::int64_t, nlohmann::json>> changes_;
     std::int64_t revision_ = 1;
     net::Timers::Id keep_alive_timer_ = net::Timers::kNone;
 };
--- a/tools/fakes/fake_release_platform.hpp
+++ b/tools/fakes/fake_release_platform.hpp
@@ -13,7 +13,7 @@
 
 namespace tideline::fakes {
 
-// A vote as a sidecar sent it, also where it was stale.
+// A vote as a sidecar sent it, even if it was stale.
 struct ReceivedVote {
     Seconds at = 0;
     int listener = 0;
@@ -22,27 +22,29 @@
     std::string vote;
 };
 
-// Used on the thread of the event loop, which must outlive it.
+// Used only on the thread of the event loop, which must outlive it.
 class FakeReleasePlatform {
   public:
     explicit FakeReleasePlatform(net::EventLoop& loop);
     ~FakeReleasePlatform();
-    // The listener's number; -1 where the address can't be bound.
+    // Adds a listener and returns its number, or -1 if the address can't be bound.
     int add_listener(const net::Address& address);
-    // A muted listener repeats the status as it was and answers votes with a conflict.
+    // A muted listener streams the status as it was when it was muted and answers votes with HTTP
+    // status 409.
     void mute(int listener, bool muted);
-    void offer(int build);  // a new build begins its trial
-    // Sets stage, status and cap of the build, and notifies all sidecars.
+    void offer(int build);  // starts the trial of a new build
+    // Sets stage, status and exposure cap of the build, and notifies all sidecars.
     void move(int stage, const std::string& status, double cap);
     // The release status as it is sent to sidecars.
     nlohmann::json state() const;
 
-    std::vector<double> caps{0.1, 0.4, 1};  // share by stage; after the last it is released
-    Seconds min_stage_time = 1;             // before a stage may move on
-    // so many sidecars
+    std::vector<double> caps{
+        0.1, 0.4, 1};            // exposure cap of each stage; after the last the build is released
+    Seconds min_stage_time = 1;  // s: how long a stage lasts at least
+    // Numbers of sidecars whose votes advance or revert a stage.
     int votes_to_advance = 2;
     int votes_to_revert = 1;
-    bool advances_by_votes = true;  // else only move() moves it
+    bool advances_by_votes = true;  // otherwise only move() changes the stage
     std::vector<ReceivedVote> votes;
 
   private:
--- a/tools/fakes/http_peer.hpp
+++ b/tools/fakes/http_peer.hpp
@@ -1,4 +1,4 @@
-// The server's side of HTTP/1.1 as far as the fakes of discovery and release platform need it.
+// The server side of HTTP/1.1, as far as the fakes of discovery and release platform need it.
 #pragma once
 
 #include <charconv>
@@ -8,7 +8,7 @@
 
 namespace tideline::fakes {
 
-// One connection. Owner: void on_request(HttpPeer<Owner>&, method, path, body);
+// One connection. Its Owner provides void on_request(HttpPeer<Owner>&, method, path, body) and
 // void on_peer_closed(int number).
 template <class Owner>
 class HttpPeer : public net::TcpConnection {
@@ -16,14 +16,14 @@
     HttpPeer(net::EventLoop& loop, Owner& owner, int its_number)
         : TcpConnection(loop), number(its_number), owner_(owner) {}
     const int number;
-    bool streams = false;  // its answer stays open
+    bool streams = false;  // its answer is a stream that stays open
 
-    // A complete answer.
+    // Sends a complete answer.
     void answer(int status, const std::string& body) {
         put("HTTP/1.1 " + std::to_string(status) +
             " x\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
     }
-    // Begins an answer that stays open; send_line adds to it.
+    // Begins an answer that stays open; send_line() appends to it.
     void stream() {
         streams = true;
         put("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
--- a/tools/fakes/loopback.hpp
+++ b/tools/fakes/loopback.hpp
@@ -1,5 +1,5 @@
-// Addresses on the loopback for the processes of one test run. Each run takes a block of networks
-// for itself, so that two runs on one machine never meet.
+// Loopback addresses for the processes of one test run. Each run takes a block of networks for
+// itself, so that runs on the same machine never share an address.
 #pragma once
 
 #include "net/tcp_connection.hpp"
@@ -8,7 +8,7 @@
 
 // The first two bytes of addresses in a network of this run (0 to kNetworksPerRun - 1), as in an
 // IPv4 address in host order. The block is taken at the first call and held until the process ends;
-// throws std::runtime_error where none is free.
+// throws std::runtime_error if none is free.
 std::uint32_t loopback_prefix(int network);
 
 // 127.<network of this run>.<host / 256>.<host % 256>:<port>
--- a/tools/fakes/repeating_clients.cpp
+++ b/tools/fakes/repeating_clients.cpp
@@ -101,7 +101,7 @@
                              schedule_retry(request_index, draw(0.01, 0.4));
                          }
                      });
-    // No answer within the time limit: its client retries elsewhere.
+    // If no answer arrives within the time limit, the client retries at a random sidecar.
     const auto alive = alive_;
     loop_.timers.at(net::clock_now() + time_limit + 0.2, [this, alive, request_index, number] {
         if (*alive && requests[request_index].attempts[number].answers == 0) {
--- a/tools/fakes/run_until.hpp
+++ b/tools/fakes/run_until.hpp
@@ -8,10 +8,10 @@
 
 namespace tideline::fakes {
 
-constexpr Seconds kCheckInterval = 0.01;  // s: it is evaluated at least so often
+constexpr Seconds kCheckInterval = 0.01;  // s: the condition is evaluated at least this often
 
-// Executes the loop until `holds`, which is evaluated after each pass, but for `most` seconds at
-// most. Returns whether it held.
+// Executes the loop until `holds` returns true, which is evaluated after each pass, or until `most`
+// seconds have passed. Returns whether the condition held.
 inline bool run_until(net::EventLoop& loop, Seconds most, const std::function<bool()>& holds) {
     const Seconds until = net::clock_now() + most;
     for (;;) {
--- a/tools/fakes/server.hpp
+++ b/tools/fakes/server.hpp
@@ -1,4 +1,5 @@
-// What the fakes share: a listener that owns its connections until their peer ends them.
+// The TCP server that the fakes share: a listener that owns its connections until their peers close
+// them.
 #pragma once
 
 #include <map>
@@ -9,7 +10,7 @@
 
 namespace tideline::fakes {
 
-// Connection is a net::TcpConnection built from (EventLoop&, Owner&, int number).
+// Connection is a net::TcpConnection that is constructed from (EventLoop&, Owner&, int number).
 template <class Connection, class Owner>
 class Server {
   public:
@@ -18,7 +19,7 @@
     bool listen(const net::Address& address) {
         return listener_.listen(address);
     }
-    // Ends all connections, as a process that dies.
+    // Stops listening and closes all connections, as if the process had died.
     void close() {
         listener_.close();
         for (auto& [number, connection] : connections_) {
@@ -30,7 +31,7 @@
     bool open() const {
         return listener_.open();
     }
-    // Ends one connection; no effect where it has ended.
+    // Closes one connection; has no effect if it has ended already.
     void drop(int number) {
         const auto it = connections_.find(number);
         if (it == connections_.end()) {
@@ -40,7 +41,7 @@
         loop_.destroy_after_pass(std::move(it->second));
         connections_.erase(it);
     }
-    // Calls it with each connection; the call may drop that connection.
+    // Invokes `call` with each connection; `call` may drop that connection.
     template <class Call>
     void each(Call call) {
         for (auto it = connections_.begin(); it != connections_.end();) {
--- a/tools/fakes/sidecar_settings.hpp
+++ b/tools/fakes/sidecar_settings.hpp
@@ -1,4 +1,4 @@
-// Settings of a sidecar between the fakes.
+// Settings of a sidecar that runs between the fakes.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -6,8 +6,8 @@
 
 namespace tideline::fakes {
 
-// Three request classes, read (idempotent), charge (side-effecting) and instalment (with an
-// idempotency key); stages advance by votes.
+// Returns settings with three request classes: read (idempotent), charge (side-effecting) and
+// instalment (with an idempotency key). The stages of a trial advance by votes.
 inline nlohmann::json settings(int sidecars) {
     const auto op = [](const char* name, const char* effect, int window = 2000000) {
         return nlohmann::json{
@@ -46,7 +46,7 @@
           {"fallUs", 1000000},
           {"drainGraceUs", 500000}}}};
 }
-// An entry of the endpoint list: ready, in the sidecars' area.
+// Returns an entry of the endpoint list: an endpoint that is ready, in the area of the sidecars.
 inline nlohmann::json endpoint_entry(const std::string& id, const std::string& address, int build) {
     return {{"id", id},
             {"host_port", address},
--- a/tools/soak/audit.cpp
+++ b/tools/soak/audit.cpp
@@ -9,12 +9,14 @@
 namespace tideline::soak {
 namespace {
 
-// Given by the protocol, s: an answer so long after its time limit only earns nothing.
+// s: the protocol allows answers until this long after the time limit; such a late answer only has
+// no value.
 constexpr Seconds kLateAnswer = 0.5;
-// Given by the protocol, s: an attempt that begins later than this after a client's close.
+// s: the protocol allows attempts to begin until this long after their client closed its
+// connection.
 constexpr Seconds kAttemptAfterClose = 0.1;
 constexpr Seconds kReadyWithin = 10;
-// s: a process may be held up for so long between reading its clock and writing.
+// s: how long a process may be suspended between reading its clock and writing.
 constexpr Seconds kHeldUp = 0.15;
 constexpr int kExitBySigterm = 128 + 15;
 
@@ -73,9 +75,9 @@
         for (const DrainSpan& drain : record.drains) {
             if (attempt.endpoint == drain.endpoint && attempt.at < drain.to &&
                 attempt.at > drain.from + record.drain_grace) {
-                violations.push_back(
-                    fmt::format("{} {}: sent to a draining endpoint {:.2f} s after it was told",
-                                attempt.request_class, attempt.id, attempt.at - drain.from));
+                violations.push_back(fmt::format(
+                    "{} {}: sent to a draining endpoint {:.2f} s after discovery listed it so",
+                    attempt.request_class, attempt.id, attempt.at - drain.from));
             }
         }
     }
@@ -87,9 +89,10 @@
             fmt::format("ready {:.1f} s after its start", *life.ready_at - life.started_at));
     }
     if (life.overdue) {
-        violations.push_back("still there at the earliest SIGKILL after SIGTERM");
+        violations.push_back("still running at the earliest SIGKILL after SIGTERM");
     }
-    // Before its first line the program has not begun to handle signals.
+    // Until it writes its first log line the program has not set up its signal handling, so SIGTERM
+    // ends it.
     const bool ended_before_begun = life.exit_status == kExitBySigterm && !life.wrote_log;
     if (!life.killed && !life.overdue && life.exit_status != 0 && !ended_before_begun) {
         violations.push_back(fmt::format("ended with status {}", life.exit_status));
--- a/tools/soak/audit.hpp
+++ b/tools/soak/audit.hpp
@@ -1,5 +1,5 @@
-// What clients and endpoints saw of one soak, and which rules that breaks. Nothing here asks the
-// sidecar: its own counters can't confirm themselves.
+// Records what clients and endpoints observed during one soak and checks it against the rules. It
+// does not use the sidecar's own counters, since a faulty sidecar could report wrong ones.
 #pragma once
 
 #include <optional>
@@ -12,34 +12,34 @@
 
 // How a request ended, as its client saw it.
 enum class Ending {
-    open,             // nothing has come yet
+    open,             // no answer has arrived yet
     answered,         // at least one final answer
     closed_unread,    // the sidecar closed the connection before it had read the request
     closed_read,      // the sidecar had read the request, and closed without an answer
-    client_gone,      // its client closed, or ended its sending, before an answer
-    process_vanished  // its process was killed by the soak without a warning
+    client_gone,      // its client closed the connection, or its sending side, before an answer
+    process_vanished  // the soak killed the sidecar's process with SIGKILL
 };
 
 struct SoakRequest {
     std::string id;
     std::string request_class;
-    Seconds sent_at = 0;  // of its last byte
+    Seconds sent_at = 0;  // when its last byte was sent
     Seconds time_limit = 0;
     Ending ending = Ending::open;
     int answers = 0;
-    Seconds answered_at = 0;  // of the first
+    Seconds answered_at = 0;  // time of the first answer
     std::optional<std::string> value;
-    std::optional<Seconds> closed_at;  // by its client, on purpose
+    std::optional<Seconds> closed_at;  // when its client closed the connection on purpose
     Seconds ended_at = 0;              // when the client learned that the sidecar had closed
 };
-// A complete attempt at an endpoint.
+// An attempt that has arrived completely at an endpoint.
 struct SoakAttempt {
     Seconds at = 0;
     std::string id;
     std::string request_class;
     int endpoint = 0;
 };
-// An endpoint that discovery has listed as draining, until it was listed as ready again.
+// The time from when discovery listed an endpoint as draining until it was listed as ready again.
 struct DrainSpan {
     int endpoint = 0;
     Seconds from = 0;
@@ -48,10 +48,10 @@
 // One process of the sidecar.
 struct SidecarLife {
     Seconds started_at = 0;
-    std::optional<Seconds> ready_at;  // it has answered a client's empty query
-    std::optional<Seconds> term_at;   // the first SIGTERM
-    bool killed = false;              // by the soak, without a warning
-    bool overdue = false;             // still there at the earliest SIGKILL
+    std::optional<Seconds> ready_at;  // when it first answered a client
+    std::optional<Seconds> term_at;   // when the first SIGTERM was sent
+    bool killed = false;              // the soak sent SIGKILL without a SIGTERM before
+    bool overdue = false;             // still running at the earliest SIGKILL after SIGTERM
     bool wrote_log = false;
     int exit_status = 0;
 };
@@ -63,9 +63,9 @@
     Seconds drain_grace = 0;
 };
 
-// A line for each rule that was broken; empty if none was.
+// Returns one line for each violation of a rule; empty if there was none.
 std::vector<std::string> violations_of(const SoakRecord& record);
-// How many requests ended in each way.
+// Returns a line that says how many requests ended in each way.
 std::string summary_of(const SoakRecord& record);
 
 }  // namespace tideline::soak
--- a/tools/soak/main.cpp
+++ b/tools/soak/main.cpp
@@ -1,5 +1,6 @@
-// The soak: restarts and signals in series while clients keep using every open connection. Loopback
-// only; ends by itself. Exit status: 0 nothing was broken, 1 something was, 2 not run.
+// The soak test: a series of restarts and signals of a sidecar while clients keep using every open
+// connection. It uses only loopback addresses and ends by itself. Exit status: 0 if no rule was
+// broken, 1 if one was, 2 if the soak could not be run.
 #include <fmt/format.h>
 
 #include <CLI/CLI.hpp>
@@ -22,7 +23,7 @@
     std::uint32_t seed = 1;
     int seeds = 1;
     int steps = 8;
-    std::vector<int> keep;  // numbers of the steps that are played; empty: all
+    std::vector<int> keep;  // numbers of the steps to run; empty: all
     bool show = false;
 };
 
@@ -38,7 +39,7 @@
     return kept;
 }
 
-// True where nothing was broken.
+// Runs the soak of one seed, or only prints its schedule. Returns whether no rule was broken.
 bool play(const CommandLine& command_line, std::uint32_t seed) {
     SoakOptions options;
     options.program = command_line.program;
@@ -64,7 +65,7 @@
     for (std::size_t i = 0; i < options.schedule.size(); ++i) {
         fmt::print("    step {}: {}\n", i + 1, text_of(options.schedule[i]));
     }
-    fmt::print("    log in {}; again: tideline_soak --program {} --seed {} --steps {}\n",
+    fmt::print("    log in {}; to repeat: tideline_soak --program {} --seed {} --steps {}\n",
                result.folder, command_line.program, seed, command_line.steps);
     return false;
 }
@@ -74,29 +75,30 @@
 int main(int argc, char** argv) {
     std::signal(SIGPIPE, SIG_IGN);
     CommandLine command_line;
-    CLI::App app("Restarts and signals in series, under clients that keep using open connections.",
+    CLI::App app("Restarts and signals a sidecar while clients keep using every open connection.",
                  "tideline_soak");
     app.failure_message([](const CLI::App*, const CLI::Error& error) {
         return std::string("tideline_soak: ") + error.what() + "\n";
     });
-    app.add_option("--program", command_line.program, "the sidecar's program")
+    app.add_option("--program", command_line.program, "path of the tideline program")
         ->check(CLI::ExistingFile)
         ->capture_default_str();
-    app.add_option("--seed", command_line.seed, "the first")->capture_default_str();
-    app.add_option("--seeds", command_line.seeds, "how many, one after another")
+    app.add_option("--seed", command_line.seed, "the first seed")->capture_default_str();
+    app.add_option("--seeds", command_line.seeds,
+                   "number of seeds, which are run one after another")
         ->check(CLI::Range(1, 10000))
         ->capture_default_str();
-    app.add_option("--steps", command_line.steps, "of each schedule")
+    app.add_option("--steps", command_line.steps, "number of steps of each schedule")
         ->check(CLI::Range(1, 200))
         ->capture_default_str();
     app.add_option("--keep", command_line.keep,
-                   "numbers of the steps to play, to cut a schedule to those that matter")
+                   "numbers of the steps to run, to reduce a schedule to those that matter")
         ->check(CLI::Range(1, 200));
-    app.add_flag("--show", command_line.show, "print the schedule, play nothing");
+    app.add_flag("--show", command_line.show, "print the schedule without running it");
     try {
         app.parse(argc, argv);
         if (!std::filesystem::exists(command_line.program)) {
-            throw std::runtime_error("no program " + command_line.program);
+            throw std::runtime_error("no such program: " + command_line.program);
         }
         int failed = 0;
         for (int i = 0; i < command_line.seeds; ++i) {
--- a/tools/soak/schedule.hpp
+++ b/tools/soak/schedule.hpp
@@ -1,4 +1,4 @@
-// What happens to the sidecar in one soak: steps drawn from a seed, one a line.
+// The schedule of one soak: steps that are drawn from a seed, and the text that describes them.
 #pragma once
 
 #include <cstdint>
@@ -13,21 +13,21 @@
     term,              // SIGTERM; the process is started again once it has ended
     term_twice,        // a second SIGTERM `argument` s later
     hup_series,        // SIGHUP three times, `argument` s apart
-    hup_then_term,     // both at once
-    term_then_hup,     // both at once
-    move_then_term,    // discovery moves with SIGHUP, SIGTERM `argument` s later
-    early_term,        // SIGTERM `argument` s after the next start, then a start again
-    stop_in_shutdown,  // SIGTERM, SIGSTOP at once, SIGCONT `argument` s later
-    kill,              // SIGKILL without a warning
-    crowd,             // many connections at once, for the next steps
-    hang,              // all endpoints hang for the next shutdown
-    mute,              // discovery is silent until the step after the next
-    drain,             // an endpoint drains, leaves and comes back under another id
+    hup_then_term,     // SIGHUP and SIGTERM, without a pause between them
+    term_then_hup,     // SIGTERM and SIGHUP, without a pause between them
+    move_then_term,    // SIGHUP with a new address of discovery, SIGTERM `argument` s later
+    early_term,        // a restart, then SIGTERM `argument` s after the start, then a start again
+    stop_in_shutdown,  // SIGTERM and at once SIGSTOP, SIGCONT `argument` s later
+    kill,              // SIGKILL without a SIGTERM before
+    crowd,             // opens many connections at once, which the next steps find open
+    hang,              // no endpoint answers during a SIGTERM and its shutdown
+    mute,              // discovery sends no changes until the step after the next
+    drain,             // an endpoint drains, is removed and is listed again under another id
 };
 struct Step {
     StepKind kind = StepKind::term;
-    Seconds pause = 0;     // s before it
-    Seconds argument = 0;  // s
+    Seconds pause = 0;     // s before the step
+    Seconds argument = 0;  // s; its meaning depends on the kind of the step
 };
 
 std::vector<Step> draw_schedule(std::uint32_t seed, int steps);
--- a/tools/soak/soak_clients.cpp
+++ b/tools/soak/soak_clients.cpp
@@ -12,8 +12,9 @@
 
 constexpr std::array<const char*, 3> kClasses = {"read", "charge", "instalment"};
 constexpr Seconds kReconnectInterval = 0.02;
-constexpr Seconds kMostTime = 1.5;  // of a request, as in the settings
-// Shares of the requests.
+constexpr Seconds kMostTime = 1.5;  // the time limit in the settings
+// Shares of the requests that are sent in pieces, have a short time limit, or whose client closes
+// the connection or its sending side before the answer.
 constexpr double kInPieces = 0.15;
 constexpr double kLittleTime = 0.1;
 constexpr double kClosedEarly = 0.05;
@@ -63,7 +64,7 @@
     }
 }
 
-// Opens what is missing, and looks again soon.
+// Opens the connections that are missing, and checks again after kReconnectInterval.
 void SoakClients::fill() {
     loop_.timers.cancel(fill_timer_);
     while (reconnecting_ && static_cast<int>(clients_.size()) < wanted_) {
@@ -159,7 +160,7 @@
         first_answer_at_ = net::clock_now();
     }
     Client& client = clients_.at(number);
-    // Between requests a sidecar may say why it closes.
+    // Between requests a sidecar may send an error that says why it closes the connection.
     if (!client.request) {
         return;
     }
@@ -171,7 +172,7 @@
             request.value = *value;
         }
     }
-    // After an error the connection may end without more.
+    // After an error the sidecar may close the connection without sending anything more.
     client.request.reset();
 }
 
--- a/tools/soak/soak_clients.hpp
+++ b/tools/soak/soak_clients.hpp
@@ -1,5 +1,5 @@
-// The clients of a soak: they keep using every open connection until the sidecar ends, send in
-// pieces, with little time, close early, and come back.
+// The clients of a soak. They keep using every open connection until the sidecar ends. Some of
+// their requests are sent in pieces, have a short time limit, or are abandoned by an early close.
 #pragma once
 
 #include <map>
@@ -15,26 +15,27 @@
 
 class SoakClients : SoakConnection::Owner {
   public:
-    // Adds the requests to `record`. All arguments outlive this.
+    // Adds the requests to `record`. `loop` and `record` must outlive this object.
     SoakClients(net::EventLoop& loop, SoakRecord& record, const net::Address& sidecar,
                 std::uint32_t seed);
     ~SoakClients() override;
     SoakClients(const SoakClients&) = delete;
     SoakClients& operator=(const SoakClients&) = delete;
 
-    // Keeps so many connections open while the sidecar can be reached.
+    // Keeps at least `connections` connections open while the sidecar can be reached.
     void keep_open(int connections);
-    // Whether a connection that ended is opened again.
+    // Sets whether connections that end are replaced by new ones.
     void set_reconnecting(bool reconnecting);
-    // The soak kills the process now: what waits for an answer was cut off by the soak itself.
+    // To be called when the soak kills the sidecar: requests that wait for an answer then count as
+    // cut off by the soak.
     void process_killed();
-    // No further request is sent.
+    // Sends no further requests.
     void stop() {
         stopped_ = true;
     }
     // Whether a request waits for its answer.
     bool waiting() const;
-    // A process was started: the first answer after this shows that it is ready.
+    // To be called when a process was started: the first answer after this shows that it is ready.
     void process_started() {
         first_answer_at_.reset();
     }
@@ -45,7 +46,7 @@
   private:
     struct Client {
         std::unique_ptr<SoakConnection> connection;
-        std::optional<std::size_t> request;  // in the record
+        std::optional<std::size_t> request;  // index of the request that is open, in the record
         net::Timers::Id timer = net::Timers::kNone;
     };
     void connection_free(int number) override;
--- a/tools/soak/soak_connection.cpp
+++ b/tools/soak/soak_connection.cpp
@@ -15,10 +15,10 @@
 namespace pg = net::pg;
 
 constexpr std::size_t kMaxAnswerBytes = 65536;
-// s: the sidecar ends its sending first, and closes half a second later: only then does the kernel
-// reset the connection, if something was left unread.
+// s: the sidecar shuts down its sending side first and closes the socket half a second later. Only
+// then does the kernel reset the connection, if something was left unread.
 constexpr Seconds kResetWithin = 0.8;
-// Of a DataRow with one column: the count and the size before the value.
+// In a DataRow with one column, the column count and the size precede the value.
 constexpr std::size_t kRowHeadBytes = 6;
 
 }  // namespace
@@ -67,7 +67,7 @@
         piece_timer_ = net::Timers::kNone;
         const std::string bytes = std::exchange(pieces_.front().bytes, {});
         pieces_.pop_front();
-        // An error that is reported here is not reported again by the socket.
+        // An error that send() reports is not reported again by SO_ERROR.
         reset_ |= ::send(fd_.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL) < 0;
         if (pieces_.empty()) {
             owner_.request_sent(number_);
@@ -109,7 +109,7 @@
         in_.append(bytes, static_cast<std::size_t>(got));
         return take_messages();
     }
-    // The sidecar has closed. If something was not read a reset follows.
+    // The sidecar has closed its sending side. If it leaves something unread a reset follows.
     loop_.set_events(fd_.get(), 0);
     if (end_timer_ == net::Timers::kNone) {
         end_timer_ = loop_.timers.at(net::clock_now() + kResetWithin, [this] {
@@ -147,7 +147,7 @@
 }
 
 void SoakConnection::end(bool unread) {
-    // Not yet sent in whole: the sidecar can't have read it.
+    // The sidecar can't have read a request that was not sent completely.
     const bool incomplete = !pieces_.empty();
     close();
     owner_.connection_ended(number_, unread || incomplete);
--- a/tools/soak/soak_connection.hpp
+++ b/tools/soak/soak_connection.hpp
@@ -1,5 +1,6 @@
-// A client's connection to the sidecar, on a socket of its own: it has to tell an end before the
-// request was read from one after it, which a closed connection does not show.
+// The connection of a soak client to the sidecar. It uses its own socket rather than
+// net::TcpConnection, because it has to tell whether the sidecar closed the connection before or
+// after it had read the request.
 #pragma once
 
 #include <deque>
@@ -12,7 +13,7 @@
 
 namespace tideline::soak {
 
-// One piece of what is sent, after a pause.
+// A piece of a message, which is sent after a pause.
 struct Piece {
     Seconds pause = 0;
     std::string bytes;
@@ -23,22 +24,22 @@
     class Owner {
       public:
         virtual ~Owner() = default;
-        // The sidecar has welcomed the client, or has answered whole: the next request may go out.
+        // The sidecar has completed the startup or an answer: the next request may be sent.
         virtual void connection_free(int number) = 0;
         // The last byte of the request was written.
         virtual void request_sent(int number) = 0;
-        // A final answer: a value, or an error without one.
+        // A final answer has arrived: a value, or an error, for which `value` is null.
         virtual void request_answered(int number, const std::string* value) = 0;
         // The connection has ended. `unread`: the sidecar had not read all that was sent.
         virtual void connection_ended(int number, bool unread) = 0;
     };
-    // Connects; `owner` and `loop` outlive this.
+    // Connects; `owner` and `loop` must outlive this object.
     SoakConnection(net::EventLoop& loop, Owner& owner, int number, const net::Address& sidecar);
     ~SoakConnection() override;
     SoakConnection(const SoakConnection&) = delete;
     SoakConnection& operator=(const SoakConnection&) = delete;
 
-    // Sends the pieces in their order; the connection is free.
+    // Sends the pieces in their order; the connection has to be free.
     void send(std::deque<Piece> pieces);
     void close();
     void finish_sending();
@@ -62,7 +63,7 @@
     bool connecting_ = true;
     bool welcomed_ = false;
     bool free_ = false;
-    bool reset_ = false;  // a piece found the connection reset
+    bool reset_ = false;  // sending a piece failed because the connection was reset
     std::string value_;
     net::Timers::Id piece_timer_ = net::Timers::kNone;
     net::Timers::Id end_timer_ = net::Timers::kNone;
--- a/tools/soak/soak_run.cpp
+++ b/tools/soak/soak_run.cpp
@@ -28,15 +28,16 @@
 constexpr int kCrowdConnections = 150;
 constexpr int kSockets = 512;
 constexpr int kFewSockets = 96;
-// Every third seed has a sidecar with few descriptors.
+// With every third seed the sidecar may use only few sockets.
 constexpr std::uint32_t kFewSocketsEvery = 3;
-// s after SIGTERM: clients connect no more, and the earliest SIGKILL (the longest time limit and
-// 0.7 s, by the protocol).
+// s after SIGTERM: until then clients still connect.
 constexpr Seconds kConnectAfterTerm = 0.3;
+// s after SIGTERM: the earliest SIGKILL that the protocol allows, which is the longest time limit
+// plus 0.7 s.
 constexpr Seconds kKillAfterTerm = 1.5 + 0.7;
 constexpr Seconds kServesWithin = 12;
 constexpr Seconds kHang = 30;
-// Of the settings, and what a process may be held up.
+// s: the drain grace of the settings, plus how long a process may be suspended.
 constexpr Seconds kDrainGrace = 0.5 + 0.15;
 
 class SoakRun {
@@ -82,7 +83,7 @@
 SoakRun::SoakRun(const SoakOptions& options) : options_(options) {
     char folder[] = "/tmp/tideline-soak-XXXXXX";
     if (!::mkdtemp(folder)) {
-        throw std::runtime_error("can't make a folder under /tmp");
+        throw std::runtime_error("can't create a folder under /tmp");
     }
     result_.folder = folder;
     result_.record.drain_grace = kDrainGrace;
@@ -105,7 +106,7 @@
         discovery_.put(endpoint_entry(endpoint_ids_.back(), text_of(at_port(512 + i, 5432)), 41));
     }
     if (!listening) {
-        throw std::runtime_error("an address of the fakes is taken");
+        throw std::runtime_error("can't listen at an address of the fakes");
     }
 }
 
@@ -132,8 +133,8 @@
     result_.record.lives.push_back({});
     life().started_at = net::clock_now();
     process_.start({options_.program, "sidecar", "--config", result_.folder + "/config.json"}, log);
-    // A change confirms the list to the new watch; with none it takes 2.1 s, longer than most
-    // lives.
+    // A change confirms the endpoint list to a sidecar that has just connected. Without one this
+    // takes 2.1 s, which is longer than most processes of a soak run.
     for (const Seconds after : {0.1, 0.4, 0.8}) {
         loop_.timers.at(net::clock_now() + after, [this] { announce_change(); });
     }
@@ -141,7 +142,8 @@
     clients_->set_reconnecting(true);
 }
 
-// After the first SIGTERM: serves on for the clients it has, and has ended before SIGKILL may come.
+// Waits for the end of the process after the first SIGTERM. It has to serve its connected clients
+// on and to end before the earliest SIGKILL.
 void SoakRun::shut_down() {
     const Seconds term_at = *life().term_at;
     run_until(loop_, term_at + kConnectAfterTerm - net::clock_now(),
@@ -179,7 +181,7 @@
     process_.signal(SIGHUP);
 }
 
-// A change that matters to nobody: an endpoint as it was.
+// Announces a change without a difference: an endpoint as it was.
 void SoakRun::announce_change() {
     const std::size_t last = endpoint_ids_.size() - 1;
     if (!drains_in_progress_) {
@@ -188,7 +190,7 @@
     }
 }
 
-// Drains one, removes it, and lists the same server under another id.
+// Lists an endpoint as draining, removes it, and lists the same server under another id.
 void SoakRun::drain_endpoint() {
     const int index = drains_++ % kEndpoints;
     std::string& id = endpoint_ids_[static_cast<std::size_t>(index)];
--- a/tools/soak/soak_run.hpp
+++ b/tools/soak/soak_run.hpp
@@ -1,5 +1,4 @@
-// One soak: a sidecar process between the project's own fakes, through a schedule of signals,
-// restarts and troubles.
+// Runs one soak: a sidecar process between fakes, with a schedule of signals, restarts and faults.
 #pragma once
 
 #include <cstdint>
@@ -16,12 +15,12 @@
     std::uint32_t seed = 1;
     std::vector<Step> schedule;
 };
-// What was seen, and where the sidecar's log is, which is left.
+// What was observed, and the folder with the sidecar's log, which the caller has to remove.
 struct SoakResult {
     SoakRecord record;
     std::string folder;
 };
-// Takes some seconds a step. Throws std::runtime_error where the fakes can't be set up.
+// Takes some seconds per step. Throws std::runtime_error if the fakes can't be set up.
 SoakResult run_soak(const SoakOptions& options);
 
 }  // namespace tideline::soak
