--- a/src/cli/audit.hpp
+++ b/src/cli/audit.hpp
@@ -10,8 +10,8 @@
 namespace tideline::cli {
 
 struct AuditCommand {
-    std::string address;  // host:port of any member
-    bool audit = true;    // also show the versions that each member acts on
+    std::string address;        // host:port of any member
+    bool show_versions = true;  // also show the versions that each member acts on
     bool json = false;
     Seconds timeout = 10;
     // Shows the epochs that ended later: a Unix time, or if negative, seconds relative to now.
--- a/src/cli/check.cpp
+++ b/src/cli/check.cpp
@@ -20,15 +20,15 @@
     const std::string text{std::istreambuf_iterator<char>(file), {}};
     // The operator file of a planner has the group `planner`; any other file is read as the
     // operator file of a cluster member.
-    const bool planner = std::regex_search(text, std::regex("(^|\\n)\\s*planner\\s*[=:]"));
+    const bool is_planner = std::regex_search(text, std::regex("(^|\\n)\\s*planner\\s*[=:]"));
     cluster::ClusterConfig cluster_config;
     planner::PlannerConfig planner_config;
-    const auto errors = planner ? planner::read_planner_config(text, planner_config)
-                                : cluster::read_cluster_config(text, cluster_config);
+    const auto errors = is_planner ? planner::read_planner_config(text, planner_config)
+                                   : cluster::read_cluster_config(text, cluster_config);
     for (const auto& error : errors) {
         fmt::print("{}\n", cluster::text_of(path, error));
     }
-    if (errors.empty() && planner) {
+    if (errors.empty() && is_planner) {
         fmt::print("{}: valid; planner {} at {}, {} planners\n", path, planner_config.name.value,
                    planner_config.listen, planner_config.planners.size());
     } else if (errors.empty()) {
--- a/src/cli/lease.cpp
+++ b/src/cli/lease.cpp
@@ -17,9 +17,9 @@
 
 using nlohmann::ordered_json;
 
-constexpr int kDone = 0;
-constexpr int kRefused = 1;
-constexpr int kUnknown = 2;
+constexpr int kExitDone = 0;
+constexpr int kExitRefused = 1;
+constexpr int kExitUnknown = 2;
 
 std::string utc_text(double unix_time) {
     if (unix_time <= 0) {
@@ -126,15 +126,15 @@
         case LeaseCommand::Action::list_planners:
             request.set_what(Request::TABLE);
             break;
-        case LeaseCommand::Action::revoke:
+        case LeaseCommand::Action::revoke_lease:
             request.set_what(Request::TAKE_AWAY);
             request.set_lease(command.name);
             break;
-        case LeaseCommand::Action::admit:
+        case LeaseCommand::Action::admit_planner:
             request.set_what(Request::ADMIT);
             request.set_key(command.name);
             break;
-        case LeaseCommand::Action::remove:
+        case LeaseCommand::Action::remove_planner:
             request.set_what(Request::REMOVE);
             request.set_key(command.name);
             break;
@@ -175,37 +175,37 @@
     } else {
         print_leases(table);
     }
-    return table.stale() ? kUnknown : kDone;
+    return table.stale() ? kExitUnknown : kExitDone;
 }
 
 }  // namespace
 
 int run_lease_command(const LeaseCommand& command) {
-    const auto answer = ask_planner(command, query_address(command.address));
+    const auto answer = ask_planner(command, parse_query_address(command.address));
     if (!answer) {
-        return kUnknown;
+        return kExitUnknown;
     }
     if (static_cast<lease::Answer>(answer->what()) == lease::Answer::refused) {
         fmt::print(stderr, "tideline: refused: {}\n", answer->why());
-        return kRefused;
+        return kExitRefused;
     }
     switch (command.action) {
         case LeaseCommand::Action::list_leases:
         case LeaseCommand::Action::list_planners:
             return show_table(command, answer->table());
-        case LeaseCommand::Action::revoke:
+        case LeaseCommand::Action::revoke_lease:
             fmt::print(
                 "revoked: the lease is no longer renewed; it is granted again once it has "
                 "expired\n");
             break;
-        case LeaseCommand::Action::admit:
+        case LeaseCommand::Action::admit_planner:
             fmt::print("admitted: the planner catches up first and then votes\n");
             break;
-        case LeaseCommand::Action::remove:
+        case LeaseCommand::Action::remove_planner:
             fmt::print("removed\n");
             break;
     }
-    return kDone;
+    return kExitDone;
 }
 
 }  // namespace tideline::cli
--- a/src/cli/lease.hpp
+++ b/src/cli/lease.hpp
@@ -8,7 +8,7 @@
 namespace tideline::cli {
 
 struct LeaseCommand {
-    enum class Action { list_leases, revoke, list_planners, admit, remove };
+    enum class Action { list_leases, revoke_lease, list_planners, admit_planner, remove_planner };
     Action action = Action::list_leases;
     std::string address;  // host:port of any planner
     std::string name;     // name of the lease to revoke, or of the planner to admit or remove
--- a/src/cli/planner.cpp
+++ b/src/cli/planner.cpp
@@ -14,9 +14,10 @@
 
 // Handles SIGHUP. A planner applies its configuration only when it starts, so this only logs
 // whether the file is valid and whether a restart is needed to apply it.
-void check_reload(const std::string& path, const planner::PlannerConfig& started, net::Log& log) {
+void check_config_change(const std::string& path, const planner::PlannerConfig& active_config,
+                         net::Log& log) {
     try {
-        const bool changed = planner::planner_config_of(path) != started;
+        const bool changed = planner::planner_config_of(path) != active_config;
         log.line("planner: configuration checked: restart_needed={}", changed ? "yes" : "no");
     } catch (const std::runtime_error& error) {
         log.alarm("planner: configuration invalid: {}", error.what());
@@ -27,7 +28,7 @@
 
 int run_planner(const PlannerCommand& command) {
     const planner::PlannerConfig planner_config = planner::planner_config_of(command.config_path);
-    net::Log log(command.log);
+    net::Log log(command.log_form);
     google::protobuf::SetLogHandler(nullptr);
     net::EventLoop loop;
     Signals signals(loop);
@@ -40,7 +41,7 @@
     while (!signals.shutdown_requested && planner.fatal_error().empty()) {
         loop.pass();
         if (std::exchange(signals.reload_requested, false)) {
-            check_reload(command.config_path, planner_config, log);
+            check_config_change(command.config_path, planner_config, log);
         }
         log.flush();
     }
--- a/src/cli/planner.hpp
+++ b/src/cli/planner.hpp
@@ -10,7 +10,7 @@
 struct PlannerCommand {
     std::string config_path;      // path of the operator file
     bool founds_cluster = false;  // start a new cluster with this planner as its first
-    net::Log::Form log = net::Log::Form::lines;
+    net::Log::Form log_form = net::Log::Form::lines;
 };
 
 // Runs the planner until SIGTERM, SIGINT or a fatal error. Returns the exit status: 0 if it was
--- a/src/cli/query.hpp
+++ b/src/cli/query.hpp
@@ -12,7 +12,7 @@
 
 // Parses `text` as an address. Throws std::runtime_error with a one-line message if it is
 // malformed.
-inline net::Address query_address(const std::string& text) {
+inline net::Address parse_query_address(const std::string& text) {
     const auto address = net::address_of(text);
     if (!address) {
         throw std::runtime_error("--address " + text +
--- a/src/cli/replication.cpp
+++ b/src/cli/replication.cpp
@@ -15,10 +15,10 @@
 namespace tideline::cli {
 namespace {
 
-constexpr int kDone = 0;
-constexpr int kUnknown = 2;
+constexpr int kExitDone = 0;
+constexpr int kExitUnknown = 2;
 
-void set_key(const std::string& key, wire::AskHoldings& request) {
+void set_requested_key(const std::string& key, wire::AskHoldings& request) {
     const auto first_comma = key.find(',');
     const auto second_comma = key.find(',', first_comma + 1);
     if (first_comma == std::string::npos || second_comma == std::string::npos ||
@@ -34,7 +34,7 @@
 wire::AskHoldings request_of(const ReplicationCommand& command) {
     wire::AskHoldings request;
     if (!command.key.empty()) {
-        set_key(command.key, request);
+        set_requested_key(command.key, request);
     }
     request.set_give_up(command.removed_member);
     request.set_epochs_of(command.epochs_of);
@@ -56,7 +56,7 @@
 }
 
 // Prints why the member could not answer in full, if it gave a reason. Returns whether it did.
-bool report_obstacle(const wire::Holdings& answer) {
+bool print_failure_reason(const wire::Holdings& answer) {
     if (answer.why().empty()) {
         return false;
     }
@@ -74,15 +74,15 @@
 }
 
 int show_record(const ReplicationCommand& command, const wire::Holdings& answer) {
-    if (report_obstacle(answer)) {
-        return kUnknown;
+    if (print_failure_reason(answer)) {
+        return kExitUnknown;
     }
     std::optional<replication::Record> record;
     if (answer.has_record()) {
         record = replication::record_from(0, answer.record());
     }
     print_answer(command, record);
-    return kDone;
+    return kExitDone;
 }
 
 int show_epochs(const ReplicationCommand& command, const wire::Holdings& answer) {
@@ -92,8 +92,8 @@
         fmt::print(stderr, "tideline: --epochs {}: no other member stores epochs of this member\n",
                    command.epochs_of);
     }
-    const bool incomplete = report_obstacle(answer);
-    return epochs.empty() || incomplete ? kUnknown : kDone;
+    const bool incomplete = print_failure_reason(answer);
+    return epochs.empty() || incomplete ? kExitUnknown : kExitDone;
 }
 
 int show_status(const ReplicationCommand& command, const wire::Holdings& answer) {
@@ -108,9 +108,9 @@
 }  // namespace
 
 int show_replication(const ReplicationCommand& command) {
-    const auto answer = ask_member(command, query_address(command.address));
+    const auto answer = ask_member(command, parse_query_address(command.address));
     if (!answer) {
-        return kUnknown;
+        return kExitUnknown;
     }
     if (!command.key.empty()) {
         return show_record(command, *answer);
@@ -118,15 +118,15 @@
     if (!command.epochs_of.empty()) {
         return show_epochs(command, *answer);
     }
-    if (report_obstacle(*answer)) {
-        return kUnknown;
+    if (print_failure_reason(*answer)) {
+        return kExitUnknown;
     }
     if (command.removed_member.empty()) {
         return show_status(command, *answer);
     }
     fmt::print("{} was notified that the replicas of {} count as lost\n", answer->steward(),
                command.removed_member);
-    return kDone;
+    return kExitDone;
 }
 
 }  // namespace tideline::cli
--- a/src/cli/sidecar.cpp
+++ b/src/cli/sidecar.cpp
@@ -29,12 +29,12 @@
     void begin() {
         loop_.timers.cancel(retry_timer_);
         backoff_ = kInitialReconnectBackoff;
-        asked_at_ = loop_.arrived_after();
-        attempt(true);
+        requested_at_ = loop_.arrived_after();
+        try_reload(true);
     }
 
   private:
-    void attempt(bool first) {
+    void try_reload(bool is_first_try) {
         retry_timer_ = Timers::kNone;
         try {
             // Both files are read before either is applied, so that an error in one of them leaves
@@ -43,12 +43,12 @@
             if (member_) {
                 member_->apply_config(cluster::cluster_config_of(command_.cluster_config_path));
             }
-            sidecar_.reload(config, asked_at_);
+            sidecar_.reload(config, requested_at_);
         } catch (const std::exception& error) {
-            if (first) {
+            if (is_first_try) {
                 log_.line("configuration rejected: error=\"{}\" kept=present", error.what());
             }
-            retry_timer_ = loop_.timers.at(clock_now() + backoff_, [this] { attempt(false); });
+            retry_timer_ = loop_.timers.at(clock_now() + backoff_, [this] { try_reload(false); });
             backoff_ = std::min(kMaxReconnectBackoff, 2 * backoff_);
         }
     }
@@ -58,7 +58,7 @@
     cluster::ClusterMember* const member_;
     const SidecarCommand command_;
     Seconds backoff_ = kInitialReconnectBackoff;
-    Seconds asked_at_ = 0;  // the signal arrived at this time or later
+    Seconds requested_at_ = 0;  // the signal arrived at this time or later
     Timers::Id retry_timer_ = Timers::kNone;
 };
 
@@ -113,7 +113,7 @@
 
 int run_sidecar(const SidecarCommand& command) {
     const SidecarConfig config = read_sidecar_config(command.config_path);
-    Log log(command.log);
+    Log log(command.log_form);
     // By default protobuf writes errors to standard error itself, and would block on a slow reader.
     google::protobuf::SetLogHandler(nullptr);
     EventLoop loop;
@@ -132,11 +132,11 @@
         member->begin(sidecar);
     }
     ConfigurationReload reload(loop, log, sidecar, member.get(), command);
-    bool ending = false;
+    bool shutting_down = false;
     Seconds done_since = 0;
     // Before the process ends, the outcomes of the last attempts are sent to the other members, for
     // a limited time.
-    const auto done = [&] {
+    const auto may_exit = [&] {
         if (!sidecar.done()) {
             return false;
         }
@@ -145,16 +145,16 @@
         }
         return !member || member->settled() || clock_now() > done_since + kMaxSettleTime;
     };
-    while (!done()) {
+    while (!may_exit()) {
         loop.pass();
         log.flush();
-        if (std::exchange(signals.reload_requested, false) && !ending) {
+        if (std::exchange(signals.reload_requested, false) && !shutting_down) {
             reload.begin();
         }
-        if (!signals.shutdown_requested || ending) {
+        if (!signals.shutdown_requested || shutting_down) {
             continue;
         }
-        ending = true;
+        shutting_down = true;
         log.line("shutdown started: closing_clients_in_s={}", kShutdownOverlap);
         if (member) {
             member->leave();
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -30,14 +30,14 @@
     app.add_option("--cluster-config,--fleet", command.cluster_config_path,
                    "operator file of the cluster; without it the sidecar joins no cluster")
         ->envname("TIDELINE_FLEET");
-    add_log_format(app, command.log);
+    add_log_format(app, command.log_form);
 }
 
-// Adds the options of every sub-command that queries a member or a planner. `asked` names the kind
+// Adds the options of every sub-command that queries a member or a planner. `target` names the kind
 // of process that is queried, for the help text.
 void add_query_options(CLI::App& app, std::string& address, Seconds& timeout,
-                       const std::string& asked) {
-    app.add_option("--address,--at", address, "host:port of any " + asked)->required();
+                       const std::string& target) {
+    app.add_option("--address,--at", address, "host:port of any " + target)->required();
     app.add_option("--timeout,--within", timeout, "seconds to wait for the answer")
         ->capture_default_str();
 }
@@ -57,11 +57,11 @@
   public:
     CommandLine() : app_("Routes requests over endpoints and judges builds on trial.", "tideline") {
         app_.require_subcommand(0, 1);
-        add_sidecar();
+        add_sidecar_command();
         add_member_queries();
-        add_replication();
-        add_check();
-        add_planner();
+        add_replication_command();
+        add_check_command();
+        add_planner_command();
         add_lease_queries();
         add_planner_queries();
     }
@@ -70,7 +70,7 @@
         app_.parse(argc, argv);
     }
     // Prints the error, or the help text if that was requested. Returns the exit status.
-    int report(const CLI::ParseError& error) {
+    int report_parse_error(const CLI::ParseError& error) {
         return app_.exit(error) == 0 ? 0 : kExitUsage;
     }
     // Executes the given sub-command; without one, runs a sidecar. Returns the exit status.
@@ -79,11 +79,11 @@
   private:
     using LeaseAction = cli::LeaseCommand::Action;
 
-    void add_sidecar();
+    void add_sidecar_command();
     void add_member_queries();
-    void add_replication();
-    void add_check();
-    void add_planner();
+    void add_replication_command();
+    void add_check_command();
+    void add_planner_command();
     void add_lease_queries();
     void add_planner_queries();
     CLI::App& add_planner_query(CLI::App& parent, const std::string& name, const std::string& help,
@@ -105,7 +105,7 @@
     CLI::App* planners_ = nullptr;
 };
 
-void CommandLine::add_sidecar() {
+void CommandLine::add_sidecar_command() {
     add_sidecar_options(app_, sidecar_command_);
     CLI::App* sidecar =
         app_.add_subcommand("sidecar", "run one sidecar; the same as no sub-command");
@@ -126,7 +126,7 @@
     add_member_options(*members_, audit_command_);
 }
 
-void CommandLine::add_replication() {
+void CommandLine::add_replication_command() {
     replication_ = app_.add_subcommand("replication",
                                        "show the replicas of each shard and their repair; exit "
                                        "status 1: replicas are missing, 2: shards are unavailable");
@@ -141,12 +141,12 @@
         "name of a member that will not come back: its replicas count as lost");
 }
 
-void CommandLine::add_check() {
+void CommandLine::add_check_command() {
     check_ = app_.add_subcommand("check", "print every error in an operator file");
     check_->add_option("file", checked_file_, "the operator file")->required();
 }
 
-void CommandLine::add_planner() {
+void CommandLine::add_planner_command() {
     planner_ = app_.add_subcommand(
         "planner", "run one planner, which replicates the leases with the other planners");
     planner_
@@ -156,7 +156,7 @@
     planner_->add_flag(
         "--bootstrap,--found", planner_command_.founds_cluster,
         "start a new cluster with this planner as its first; its folder has to be empty");
-    add_log_format(*planner_, planner_command_.log);
+    add_log_format(*planner_, planner_command_.log_form);
 }
 
 // Adds a sub-command that sends a request to a planner. Parsing it sets the action.
@@ -177,7 +177,7 @@
     add_json_flag(list, lease_command_.json);
     CLI::App& revoke = add_planner_query(
         *leases_, "revoke", "stop renewing a lease; another member acquires it once it has expired",
-        LeaseAction::revoke);
+        LeaseAction::revoke_lease);
     revoke.alias("take-away");
     revoke.add_option("name", lease_command_.name, "the lease")->required();
 }
@@ -192,15 +192,15 @@
     CLI::App& admit = add_planner_query(
         *planners_, "admit",
         "make a waiting planner a voter, in place of its former disk if it had one",
-        LeaseAction::admit);
+        LeaseAction::admit_planner);
     admit.add_option("name", lease_command_.name, "the planner")->required();
-    CLI::App& remove =
-        add_planner_query(*planners_, "remove", "remove a planner for good", LeaseAction::remove);
+    CLI::App& remove = add_planner_query(*planners_, "remove", "remove a planner for good",
+                                         LeaseAction::remove_planner);
     remove.add_option("name", lease_command_.name, "the planner")->required();
 }
 
 int CommandLine::run() {
-    audit_command_.audit = audit_->parsed();
+    audit_command_.show_versions = audit_->parsed();
     if (audit_->parsed() || members_->parsed()) {
         return cli::show_members(audit_command_);
     }
@@ -231,7 +231,7 @@
     try {
         command_line.parse(argc, argv);
     } catch (const CLI::ParseError& error) {
-        return command_line.report(error);
+        return command_line.report_parse_error(error);
     }
     try {
         return command_line.run();
--- a/tools/demo/demo_options.hpp
+++ b/tools/demo/demo_options.hpp
@@ -17,15 +17,15 @@
 constexpr int kClientPort = 5433;
 constexpr int kClusterPort = 7801;
 constexpr int kPlannerPort = 7901;
-constexpr int kFirstPlanner = 768;     // host number of the first planner
-constexpr Seconds kTrialStart = 2;     // s: from the start until the new build is offered
-constexpr Seconds kPlacedWithin = 15;  // s: how long to wait until all replicas are placed
+constexpr int kFirstPlannerHost = 768;     // host number of the first planner
+constexpr Seconds kTrialStartDelay = 2;    // s: from the start until the new build is offered
+constexpr Seconds kPlacementTimeout = 15;  // s: how long to wait until all replicas are placed
 
 struct Options {
     std::string program = "build/tideline";  // path of the tideline program
     int sidecars = 2;
-    double rate = 60;    // requests per second and sidecar
-    Seconds length = 9;  // for which clients send requests
+    double rate = 60;      // requests per second and sidecar
+    Seconds duration = 9;  // for which clients send requests
     bool trial_fails = false;
     bool cluster = false;
     int planners = 0;  // only with a cluster: planners, which grant the leases of its tasks
--- a/tools/demo/machine_loss.cpp
+++ b/tools/demo/machine_loss.cpp
@@ -12,14 +12,14 @@
 
 using namespace fakes;
 
-void pass_for(net::EventLoop& loop, Seconds span) {
-    bool on = true;
-    loop.timers.at(net::clock_now() + span, [&on] { on = false; });
-    while (on) {
+void run_loop_for(net::EventLoop& loop, Seconds duration) {
+    bool running = true;
+    loop.timers.at(net::clock_now() + duration, [&running] { running = false; });
+    while (running) {
         loop.pass();
     }
 }
-int ask(const Options& options, const std::string& command) {
+int query_first_sidecar(const Options& options, const std::string& command) {
     const std::string command_line =
         fmt::format("{} {} --at {}", options.program, command, text_of(at_port(256, kClusterPort)));
     fmt::print("\n$ {}\n", command_line);
@@ -34,17 +34,18 @@
 bool retry_elsewhere(net::EventLoop& loop, RepeatingClients& clients, const Effects& effects,
                      std::size_t request_index) {
     CallResult result = CallResult::nothing;
-    const Seconds until = net::clock_now() + 8;
+    const Seconds deadline = net::clock_now() + 8;
     // Until n2 knows that n1 is gone, it answers that the request may have run.
-    for (int tries = 0; result != CallResult::succeeded && net::clock_now() < until && tries < 4;
-         ++tries) {
+    for (int retry_count = 0;
+         result != CallResult::succeeded && net::clock_now() < deadline && retry_count < 4;
+         ++retry_count) {
         clients.retry(request_index, 2);
-        pass_for(loop, clients.time_limit + 0.1);
+        run_loop_for(loop, clients.time_limit + 0.1);
         result = clients.requests[request_index].attempts.back().result;
     }
     const RepeatedRequest& request = clients.requests[request_index];
-    const auto ran = effects.by_key.find(request.key);
-    const std::size_t times = ran == effects.by_key.end() ? 0 : ran->second.size();
+    const auto found = effects.by_key.find(request.key);
+    const std::size_t effect_count = found == effects.by_key.end() ? 0 : found->second.size();
     fmt::print("{}: retried at n2, {} times: {}; it took effect {}\n", request.request_class,
                request.attempts.size() - 1,
                result == CallResult::succeeded
@@ -52,16 +53,18 @@
                : result == CallResult::failed
                    ? "terminated: it may have run, and has no fingerprint that endpoints recognise"
                    : "throttled or not answered",
-               times == 1 ? "once" : fmt::format("{} times", times));
-    return times == 1 && (result == CallResult::succeeded || request.request_class == "charge");
+               effect_count == 1 ? "once" : fmt::format("{} times", effect_count));
+    return effect_count == 1 &&
+           (result == CallResult::succeeded || request.request_class == "charge");
 }
 
 }  // namespace
 
-bool lose_a_machine(const Options& options, const std::string& folder, net::EventLoop& loop,
-                    const Effects& effects, std::vector<std::unique_ptr<FakeEndpoint>>& endpoints,
-                    Process& machine) {
-    if (ask(options, "holdings") != 0) {
+bool demonstrate_machine_loss(const Options& options, const std::string& folder,
+                              net::EventLoop& loop, const Effects& effects,
+                              std::vector<std::unique_ptr<FakeEndpoint>>& endpoints,
+                              Process& sidecar) {
+    if (query_first_sidecar(options, "holdings") != 0) {
         return false;
     }
     std::vector<net::Address> addresses;
@@ -75,9 +78,9 @@
     }
     const std::vector<std::size_t> submitted{clients.submit("charge", 1, false),
                                              clients.submit("instalment", 1, false)};
-    pass_for(loop, 0.4);
-    machine.signal(SIGKILL);
-    machine.wait();
+    run_loop_for(loop, 0.4);
+    sidecar.signal(SIGKILL);
+    sidecar.wait();
     std::filesystem::remove_all(folder + "/n1.disk");
     fmt::print(
         "\nthe machine of n1 is lost with its disk while a charge and an instalment of its clients "
@@ -90,17 +93,17 @@
     for (const std::size_t request_index : submitted) {
         passed &= retry_elsewhere(loop, clients, effects, request_index);
     }
-    ask(options,
-        fmt::format("holdings --key instalment,desk,{}", clients.requests[submitted[1]].key));
+    query_first_sidecar(options, fmt::format("holdings --key instalment,desk,{}",
+                                             clients.requests[submitted[1]].key));
     // The other members repair the replicas; n1 is not started again.
-    const Seconds until = net::clock_now() + 15;
-    while (net::clock_now() < until &&
+    const Seconds deadline = net::clock_now() + 15;
+    while (net::clock_now() < deadline &&
            std::system(fmt::format("{} holdings --at {} >/dev/null", options.program,
                                    text_of(at_port(256, kClusterPort)))
                            .c_str()) != 0) {
-        pass_for(loop, 0.2);
+        run_loop_for(loop, 0.2);
     }
-    return ask(options, "holdings") == 0 && passed;
+    return query_first_sidecar(options, "holdings") == 0 && passed;
 }
 
 }  // namespace tideline::demo
--- a/tools/demo/machine_loss.hpp
+++ b/tools/demo/machine_loss.hpp
@@ -11,18 +11,18 @@
 
 namespace tideline::demo {
 
-// Executes the event loop for `span` seconds.
-void pass_for(net::EventLoop& loop, Seconds span);
+// Executes the event loop for `duration` seconds.
+void run_loop_for(net::EventLoop& loop, Seconds duration);
 // Runs a sub-command of tideline against the first sidecar and shows its output. Returns its exit
 // status.
-int ask(const Options& options, const std::string& command);
+int query_first_sidecar(const Options& options, const std::string& command);
 // Kills the sidecar n1 and removes its disk while a charge and an instalment that it has taken run
 // at slow endpoints; their clients retry at n2. Prints the outcome of each. Returns whether each
 // took effect exactly once, the client of the instalment has its answer, and all replicas are
 // complete again.
-bool lose_a_machine(const Options& options, const std::string& folder, net::EventLoop& loop,
-                    const fakes::Effects& effects,
-                    std::vector<std::unique_ptr<fakes::FakeEndpoint>>& endpoints,
-                    fakes::Process& machine);
+bool demonstrate_machine_loss(const Options& options, const std::string& folder,
+                              net::EventLoop& loop, const fakes::Effects& effects,
+                              std::vector<std::unique_ptr<fakes::FakeEndpoint>>& endpoints,
+                              fakes::Process& sidecar);
 
 }  // namespace tideline::demo
--- a/tools/demo/main.cpp
+++ b/tools/demo/main.cpp
@@ -23,7 +23,7 @@
     app.add_option("--rate", options.rate, "requests per second and sidecar")
         ->check(CLI::Range(1, 500))
         ->capture_default_str();
-    app.add_option("--length", options.length, "seconds")
+    app.add_option("--length", options.duration, "seconds")
         ->check(CLI::Range(6, 120))
         ->capture_default_str();
     app.add_flag("--fleet", options.cluster,
@@ -48,7 +48,7 @@
         options.cluster = true;
     }
     try {
-        return run(options);
+        return run_demonstration(options);
     } catch (const std::exception& error) {
         fmt::print(stderr, "tideline_demo: {}\n", error.what());
         return 1;
--- a/tools/demo/rollout.cpp
+++ b/tools/demo/rollout.cpp
@@ -40,14 +40,14 @@
     void start_planners();
     void start_sidecars();
     void wait_until_placed();
-    void play_rollout();
-    void print_clients();
+    void run_rollout();
+    void print_client_results();
     void print_audit();
     void print_leases();
     void lose_machine();
     void stop_processes();
     // Prints and returns whether everything was as expected, and then removes the folder.
-    bool finish();
+    bool report_outcome();
 
   private:
     void add_endpoints(int build);
@@ -55,7 +55,7 @@
     std::string planner_addresses() const;
     nlohmann::json sidecar_settings(int sidecar) const;
     std::string cluster_config(int sidecar) const;
-    bool lease_acquired(const std::string& lease) const;
+    bool has_acquired_lease(const std::string& lease) const;
     std::string votes_of(std::size_t sidecar) const;
 
     const Options& options_;
@@ -73,11 +73,11 @@
     std::size_t succeeded_ = 0;
     bool leases_held_ = true;
     int lost_sidecar_ = -1;
-    bool records_kept_ = true;
+    bool machine_loss_passed_ = true;
     int failed_exits_ = 0;
 };
 
-std::string new_folder() {
+std::string create_folder() {
     char folder[] = "/tmp/tideline-try-XXXXXX";
     if (!::mkdtemp(folder)) {
         throw std::runtime_error("can't create a folder under /tmp");
@@ -86,13 +86,13 @@
 }
 
 // Prints and runs a shell command, which prints its own output. Returns its exit status.
-int show_command(const std::string& command) {
+int run_command(const std::string& command) {
     fmt::print("\n$ {}\n", command);
     std::fflush(stdout);
     return std::system(command.c_str());
 }
 
-Rollout::Rollout(const Options& options) : options_(options), folder_(new_folder()) {
+Rollout::Rollout(const Options& options) : options_(options), folder_(create_folder()) {
     effects_.repeatable = {"instalment"};
     add_endpoints(kCurrentBuild);
     platform_.votes_to_advance = std::max(1, options_.sidecars / 2 + 1);
@@ -119,7 +119,7 @@
     std::string list;
     for (int i = 0; i < options_.planners; ++i) {
         list += fmt::format("{}{{ name = \"p{}\"; address = \"{}\"; }}", i ? ", " : "", i,
-                            text_of(at_port(kFirstPlanner + i, kPlannerPort)));
+                            text_of(at_port(kFirstPlannerHost + i, kPlannerPort)));
     }
     return list;
 }
@@ -127,7 +127,7 @@
     std::string addresses;
     for (int i = 0; i < options_.planners; ++i) {
         addresses += fmt::format("{}\"{}\"", i ? ", " : "",
-                                 text_of(at_port(kFirstPlanner + i, kPlannerPort)));
+                                 text_of(at_port(kFirstPlannerHost + i, kPlannerPort)));
     }
     return addresses;
 }
@@ -138,7 +138,7 @@
             "planner = {{ name = \"p{}\"; listen = \"{}\"; folder = \"{}.disk\"; planners = ( {} "
             ");\n"
             "  leases = {{ span = 3.0; }}; }};\n",
-            i, text_of(at_port(kFirstPlanner + i, kPlannerPort)), path, planner_list());
+            i, text_of(at_port(kFirstPlannerHost + i, kPlannerPort)), path, planner_list());
         std::vector<std::string> command{options_.program, "planner", "--file", path + ".cfg"};
         if (i == 0) {
             command.emplace_back("--found");
@@ -202,7 +202,7 @@
                                                          fmt::format("c{}", i),
                                                          static_cast<std::uint32_t>(7 + i)));
     }
-    pass_for(loop_, 0.5);
+    run_loop_for(loop_, 0.5);
     for (const auto& each : sidecars_) {
         if (!each->runs()) {
             throw std::runtime_error(
@@ -214,16 +214,16 @@
 // Waits until all replicas are placed. Before that, sidecars reject requests that must not run
 // twice.
 void Rollout::wait_until_placed() {
-    const Seconds placed_by = net::clock_now() + (options_.replicas > 0 ? kPlacedWithin : 0);
-    while (net::clock_now() < placed_by &&
+    const Seconds deadline = net::clock_now() + (options_.replicas > 0 ? kPlacementTimeout : 0);
+    while (net::clock_now() < deadline &&
            std::system(fmt::format("{} holdings --at {} >/dev/null 2>&1", options_.program,
                                    text_of(at_port(256, kClusterPort)))
                            .c_str()) != 0) {
-        pass_for(loop_, 0.3);
+        run_loop_for(loop_, 0.3);
     }
 }
 
-void Rollout::play_rollout() {
+void Rollout::run_rollout() {
     for (auto& each : clients_) {
         each->begin(options_.rate);
     }
@@ -232,15 +232,16 @@
         "{} sidecars, {} endpoints of build {}, {:.0f} requests per second; build {} is offered "
         "after {} s{}\n",
         options_.sidecars, kEndpointsPerBuild, kCurrentBuild, options_.rate * options_.sidecars,
-        kTrialBuild, kTrialStart, options_.trial_fails ? " and fails 40% of its attempts" : "");
-    pass_for(loop_, start + kTrialStart - net::clock_now());
+        kTrialBuild, kTrialStartDelay,
+        options_.trial_fails ? " and fails 40% of its attempts" : "");
+    run_loop_for(loop_, start + kTrialStartDelay - net::clock_now());
     add_endpoints(kTrialBuild);
     platform_.offer(kTrialBuild);
-    pass_for(loop_, start + options_.length - net::clock_now());
+    run_loop_for(loop_, start + options_.duration - net::clock_now());
     for (auto& each : clients_) {
         each->stop();
     }
-    pass_for(loop_, 1.6);
+    run_loop_for(loop_, 1.6);
 }
 
 std::string Rollout::votes_of(std::size_t sidecar) const {
@@ -256,7 +257,7 @@
     }
     return text;
 }
-void Rollout::print_clients() {
+void Rollout::print_client_results() {
     fmt::print("\n{:8} {:>6} {:>10} {:>10} {:>11} {:>10} {:>8} {:>8} {:>16}\n", "sidecar", "taken",
                "succeeded", "throttled", "terminated", "unanswered", "p50 ms", "p99 ms", "votes");
     for (std::size_t i = 0; i < clients_.size(); ++i) {
@@ -285,12 +286,12 @@
     }
     const std::string audit =
         fmt::format("{} audit --at {}", options_.program, text_of(at_port(256, kClusterPort)));
-    if (show_command(audit) != 0) {
+    if (run_command(audit) != 0) {
         fmt::print("the audit reports members that lag behind or could not be queried\n");
     }
 }
 
-bool Rollout::lease_acquired(const std::string& lease) const {
+bool Rollout::has_acquired_lease(const std::string& lease) const {
     for (int i = 0; i < options_.sidecars; ++i) {
         std::ifstream log(fmt::format("{}/n{}.log", folder_, i));
         const std::string text{std::istreambuf_iterator<char>(log), {}};
@@ -304,13 +305,13 @@
     if (planners_.empty()) {
         return;
     }
-    const std::string at = text_of(at_port(kFirstPlanner + 1, kPlannerPort));
+    const std::string planner_address = text_of(at_port(kFirstPlannerHost + 1, kPlannerPort));
     for (const char* command : {"planners list", "lease list"}) {
-        leases_held_ &=
-            show_command(fmt::format("{} {} --at {}", options_.program, command, at)) == 0;
+        leases_held_ &= run_command(fmt::format("{} {} --at {}", options_.program, command,
+                                                planner_address)) == 0;
     }
     for (const char* lease : {"roll-call", "warming"}) {
-        leases_held_ &= lease_acquired(lease);
+        leases_held_ &= has_acquired_lease(lease);
     }
     if (!leases_held_) {
         fmt::print("a lease was not acquired, or the planners could not be queried\n");
@@ -322,7 +323,8 @@
         return;
     }
     lost_sidecar_ = 1;
-    records_kept_ = lose_a_machine(options_, folder_, loop_, effects_, endpoints_, *sidecars_[1]);
+    machine_loss_passed_ =
+        demonstrate_machine_loss(options_, folder_, loop_, effects_, endpoints_, *sidecars_[1]);
 }
 
 void Rollout::stop_processes() {
@@ -333,7 +335,7 @@
     for (auto& each : sidecars_) {
         each->signal(SIGTERM);
     }
-    pass_for(loop_, 1.5);
+    run_loop_for(loop_, 1.5);
     for (std::size_t i = 0; i < sidecars_.size(); ++i) {
         failed_exits_ +=
             static_cast<int>(i) != lost_sidecar_ && sidecars_[i]->ended() != std::optional<int>(0);
@@ -341,7 +343,7 @@
     for (auto& each : planners_) {
         each->signal(SIGTERM);
     }
-    pass_for(loop_, planners_.empty() ? 0 : 0.3);
+    run_loop_for(loop_, planners_.empty() ? 0 : 0.3);
     for (auto& each : planners_) {
         failed_exits_ += each->ended() != std::optional<int>(0);
     }
@@ -351,11 +353,11 @@
     }
 }
 
-bool Rollout::finish() {
+bool Rollout::report_outcome() {
     const auto state = platform_.state();
     const std::string expected_status = options_.trial_fails ? "revert" : "stable";
     const bool passed = unanswered_ == 0 && succeeded_ > 0 && failed_exits_ == 0 && leases_held_ &&
-                        records_kept_ && state["version"] == kTrialBuild &&
+                        machine_loss_passed_ && state["version"] == kTrialBuild &&
                         state["status"].get<std::string>().starts_with(expected_status);
     if (passed) {
         std::filesystem::remove_all(folder_);
@@ -367,19 +369,19 @@
 
 }  // namespace
 
-int run(const Options& options) {
+int run_demonstration(const Options& options) {
     std::signal(SIGPIPE, SIG_IGN);
     Rollout rollout(options);
     rollout.start_planners();
     rollout.start_sidecars();
     rollout.wait_until_placed();
-    rollout.play_rollout();
-    rollout.print_clients();
+    rollout.run_rollout();
+    rollout.print_client_results();
     rollout.print_audit();
     rollout.print_leases();
     rollout.lose_machine();
     rollout.stop_processes();
-    return rollout.finish() ? 0 : 1;
+    return rollout.report_outcome() ? 0 : 1;
 }
 
 }  // namespace tideline::demo
--- a/tools/demo/rollout.hpp
+++ b/tools/demo/rollout.hpp
@@ -7,6 +7,6 @@
 
 // Starts all processes, runs the rollout and prints a table of the outcome. Returns the exit
 // status. Throws std::runtime_error if a process does not start.
-int run(const Options& options);
+int run_demonstration(const Options& options);
 
 }  // namespace tideline::demo
--- a/tools/fakes/fake_clients.cpp
+++ b/tools/fakes/fake_clients.cpp
@@ -14,7 +14,7 @@
 
 void FakeClients::begin(double rate) {
     rate_ = rate;
-    schedule_next();
+    schedule_next_request();
 }
 void FakeClients::stop() {
     loop_.timers.cancel(next_timer_);
@@ -23,13 +23,13 @@
     return static_cast<std::size_t>(std::count_if(requests.begin(), requests.end(),
                                                   [](auto& each) { return each.answers == 0; }));
 }
-void FakeClients::schedule_next() {
+void FakeClients::schedule_next_request() {
     const double unit =
         (1.0 + static_cast<double>(random_())) / (2.0 + static_cast<double>(random_.max()));
     next_timer_ = loop_.timers.at(net::clock_now() - std::log(unit) / rate_, [this] {
         next_timer_ = net::Timers::kNone;
         send();
-        schedule_next();
+        schedule_next_request();
     });
 }
 void FakeClients::send() {
@@ -37,10 +37,11 @@
                                    [](auto& connection) { return connection->idle(); });
     ClientConnection* connection = free == connections_.end() ? nullptr : free->get();
     if (!connection) {
-        connection = connections_
-                         .emplace_back(std::make_unique<ClientConnection>(
-                             loop_, sidecar_, [this](ClientConnection* ended) { drop(ended); }))
-                         .get();
+        connection =
+            connections_
+                .emplace_back(std::make_unique<ClientConnection>(
+                    loop_, sidecar_, [this](ClientConnection* ended) { remove_connection(ended); }))
+                .get();
     }
     const std::string id = tenant_ + "x" + std::to_string(requests.size());
     requests.push_back({net::clock_now(), 0, time_limit, CallResult::nothing, 0});
@@ -57,7 +58,7 @@
             request.latency = net::clock_now() - request.sent_at;
         });
 }
-void FakeClients::drop(ClientConnection* ended) {
+void FakeClients::remove_connection(ClientConnection* ended) {
     const auto it = std::find_if(connections_.begin(), connections_.end(),
                                  [&](auto& each) { return each.get() == ended; });
     if (it == connections_.end()) {
--- a/tools/fakes/fake_discovery.cpp
+++ b/tools/fakes/fake_discovery.cpp
@@ -63,7 +63,7 @@
     // The connections are closed, so that the sidecars connect again and receive the changes that
     // were held back.
     if (!muted) {
-        at.server.each([&](auto& peer) { at.server.drop(peer.number); });
+        at.server.for_each_connection([&](auto& peer) { at.server.drop(peer.number); });
     }
 }
 
@@ -99,7 +99,7 @@
         const json change = {{"revision", revision_ + listener->added_revision},
                              {"complete", false},
                              {"members", json::array({member})}};
-        listener->server.each([line = change.dump()](auto& peer) {
+        listener->server.for_each_connection([line = change.dump()](auto& peer) {
             if (peer.streams) {
                 peer.send_line(line);
             }
@@ -109,7 +109,7 @@
 
 void FakeDiscovery::send_keep_alive() {
     for (auto& listener : listeners_) {
-        listener->server.each([](auto& peer) {
+        listener->server.for_each_connection([](auto& peer) {
             if (peer.streams) {
                 peer.send_line("");
             }
--- a/tools/fakes/fake_release_platform.cpp
+++ b/tools/fakes/fake_release_platform.cpp
@@ -61,7 +61,7 @@
     at.muted = muted;
     at.frozen = state();
     if (!muted) {
-        at.server.each([&](auto& peer) { at.server.drop(peer.number); });
+        at.server.for_each_connection([&](auto& peer) { at.server.drop(peer.number); });
     }
 }
 
@@ -86,9 +86,9 @@
 }
 void FakeReleasePlatform::record_vote(int listener, const json& ballot) {
     votes_of_stage_[listener] = ballot.value("vote", "");
-    count_votes();
+    evaluate_votes();
 }
-void FakeReleasePlatform::count_votes() {
+void FakeReleasePlatform::evaluate_votes() {
     if (!advances_by_votes || (status_ != "canary" && status_ != "stable")) {
         return;
     }
@@ -112,7 +112,7 @@
 void FakeReleasePlatform::notify() {
     for (auto& listener : listeners_) {
         if (!listener->muted) {
-            listener->server.each([&](auto& peer) {
+            listener->server.for_each_connection([&](auto& peer) {
                 if (peer.streams) {
                     peer.send_line(json{{"type", "ROLLOUT"}, {"object", state()}}.dump());
                 }
@@ -121,9 +121,9 @@
     }
 }
 void FakeReleasePlatform::send_keep_alive() {
-    count_votes();
+    evaluate_votes();
     for (auto& listener : listeners_) {
-        listener->server.each([](auto& peer) {
+        listener->server.for_each_connection([](auto& peer) {
             if (peer.streams) {
                 peer.send_line("{}");
             }
--- a/tools/fakes/http_peer.hpp
+++ b/tools/fakes/http_peer.hpp
@@ -49,10 +49,10 @@
             if (all.size() < end + 4 + length) {
                 return;
             }
-            const auto space = all.find(' ');
-            const auto second = all.find(' ', space + 1);
-            const std::string method(all.substr(0, space));
-            const std::string path(all.substr(space + 1, second - space - 1));
+            const auto first_space = all.find(' ');
+            const auto second_space = all.find(' ', first_space + 1);
+            const std::string method(all.substr(0, first_space));
+            const std::string path(all.substr(first_space + 1, second_space - first_space - 1));
             const std::string body(all.substr(end + 4, length));
             in_.drop(end + 4 + length);
             owner_.on_request(*this, method, path, body);
--- a/tools/fakes/process.cpp
+++ b/tools/fakes/process.cpp
@@ -11,7 +11,7 @@
 namespace tideline::fakes {
 namespace {
 
-int status_of(int status) {
+int exit_status_of(int status) {
     return WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
 }
 
@@ -61,14 +61,14 @@
 std::optional<int> Process::ended() {
     int status = 0;
     if (pid_ > 0 && !status_ && ::waitpid(pid_, &status, WNOHANG) == pid_) {
-        status_ = status_of(status);
+        status_ = exit_status_of(status);
     }
     return status_;
 }
 int Process::wait() {
     int status = 0;
     if (pid_ > 0 && !status_ && ::waitpid(pid_, &status, 0) == pid_) {
-        status_ = status_of(status);
+        status_ = exit_status_of(status);
     }
     return status_.value_or(-1);
 }
--- a/tools/fakes/repeating_clients.cpp
+++ b/tools/fakes/repeating_clients.cpp
@@ -24,19 +24,19 @@
 }
 void RepeatingClients::begin(double rate) {
     rate_ = rate;
-    schedule_next();
+    schedule_next_request();
 }
 void RepeatingClients::stop() {
     stopped_ = true;
     loop_.timers.cancel(next_timer_);
 }
-void RepeatingClients::schedule_next() {
+void RepeatingClients::schedule_next_request() {
     next_timer_ = loop_.timers.at(net::clock_now() - std::log(draw(1e-9, 1)) / rate_, [this] {
         next_timer_ = net::Timers::kNone;
         submit(request_classes_[static_cast<std::size_t>(
                    draw(0, static_cast<double>(request_classes_.size())))],
                static_cast<int>(draw(0, static_cast<double>(sidecars_.size()))));
-        schedule_next();
+        schedule_next_request();
     });
 }
 std::size_t RepeatingClients::submit(const std::string& request_class, int sidecar,
--- a/tools/fakes/server.hpp
+++ b/tools/fakes/server.hpp
@@ -43,7 +43,7 @@
     }
     // Invokes `call` with each connection; `call` may drop that connection.
     template <class Call>
-    void each(Call call) {
+    void for_each_connection(Call call) {
         for (auto it = connections_.begin(); it != connections_.end();) {
             call(*(it++)->second);
         }
@@ -54,7 +54,7 @@
 
   private:
     void on_accepted(int fd) {
-        const int number = next_++;
+        const int number = next_number_++;
         auto connection = std::make_unique<Connection>(loop_, owner_, number);
         connection->adopt(fd);
         connections_.emplace(number, std::move(connection));
@@ -63,7 +63,7 @@
     Owner& owner_;
     net::Listener listener_;
     std::map<int, std::unique_ptr<Connection>> connections_;
-    int next_ = 0;
+    int next_number_ = 0;
 };
 
 }  // namespace tideline::fakes
--- a/tools/soak/audit.hpp
+++ b/tools/soak/audit.hpp
@@ -11,13 +11,13 @@
 namespace tideline::soak {
 
 // How a request ended, as its client saw it.
-enum class Ending {
-    open,             // no answer has arrived yet
-    answered,         // at least one final answer
-    closed_unread,    // the sidecar closed the connection before it had read the request
-    closed_read,      // the sidecar had read the request, and closed without an answer
-    client_gone,      // its client closed the connection, or its sending side, before an answer
-    process_vanished  // the soak killed the sidecar's process with SIGKILL
+enum class RequestOutcome {
+    open,           // no answer has arrived yet
+    answered,       // at least one final answer
+    closed_unread,  // the sidecar closed the connection before it had read the request
+    closed_read,    // the sidecar had read the request, and closed without an answer
+    client_gone,    // its client closed the connection, or its sending side, before an answer
+    sidecar_killed  // the soak killed the sidecar's process with SIGKILL
 };
 
 struct SoakRequest {
@@ -25,7 +25,7 @@
     std::string request_class;
     Seconds sent_at = 0;  // when its last byte was sent
     Seconds time_limit = 0;
-    Ending ending = Ending::open;
+    RequestOutcome outcome = RequestOutcome::open;
     int answers = 0;
     Seconds answered_at = 0;  // time of the first answer
     std::optional<std::string> value;
@@ -40,26 +40,26 @@
     int endpoint = 0;
 };
 // The time from when discovery listed an endpoint as draining until it was listed as ready again.
-struct DrainSpan {
+struct DrainPeriod {
     int endpoint = 0;
     Seconds from = 0;
     Seconds to = 0;
 };
 // One process of the sidecar.
-struct SidecarLife {
+struct SidecarProcess {
     Seconds started_at = 0;
-    std::optional<Seconds> ready_at;  // when it first answered a client
-    std::optional<Seconds> term_at;   // when the first SIGTERM was sent
-    bool killed = false;              // the soak sent SIGKILL without a SIGTERM before
-    bool overdue = false;             // still running at the earliest SIGKILL after SIGTERM
+    std::optional<Seconds> ready_at;    // when it first answered a client
+    std::optional<Seconds> sigterm_at;  // when the first SIGTERM was sent
+    bool killed = false;                // the soak sent SIGKILL without a SIGTERM before
+    bool overdue = false;               // still running at the earliest SIGKILL after SIGTERM
     bool wrote_log = false;
     int exit_status = 0;
 };
 struct SoakRecord {
     std::vector<SoakRequest> requests;
     std::vector<SoakAttempt> attempts;
-    std::vector<DrainSpan> drains;
-    std::vector<SidecarLife> lives;
+    std::vector<DrainPeriod> drains;
+    std::vector<SidecarProcess> processes;
     Seconds drain_grace = 0;
 };
 
--- a/tools/soak/main.cpp
+++ b/tools/soak/main.cpp
@@ -16,7 +16,7 @@
 
 constexpr int kExitViolations = 1;
 constexpr int kExitNotRun = 2;
-constexpr std::size_t kPrintedViolations = 12;
+constexpr std::size_t kMaxPrintedViolations = 12;
 
 struct CommandLine {
     std::string program = "build/tideline";
@@ -40,7 +40,7 @@
 }
 
 // Runs the soak of one seed, or only prints its schedule. Returns whether no rule was broken.
-bool play(const CommandLine& command_line, std::uint32_t seed) {
+bool run_seed(const CommandLine& command_line, std::uint32_t seed) {
     SoakOptions options;
     options.program = command_line.program;
     options.seed = seed;
@@ -59,7 +59,7 @@
         std::filesystem::remove_all(result.folder);
         return true;
     }
-    for (std::size_t i = 0; i < std::min(kPrintedViolations, violations.size()); ++i) {
+    for (std::size_t i = 0; i < std::min(kMaxPrintedViolations, violations.size()); ++i) {
         fmt::print("    {}\n", violations[i]);
     }
     for (std::size_t i = 0; i < options.schedule.size(); ++i) {
@@ -102,7 +102,8 @@
         }
         int failed = 0;
         for (int i = 0; i < command_line.seeds; ++i) {
-            failed += play(command_line, command_line.seed + static_cast<std::uint32_t>(i)) ? 0 : 1;
+            failed +=
+                run_seed(command_line, command_line.seed + static_cast<std::uint32_t>(i)) ? 0 : 1;
             std::fflush(stdout);
         }
         return failed > 0 ? kExitViolations : 0;
--- a/tools/soak/soak_clients.cpp
+++ b/tools/soak/soak_clients.cpp
@@ -10,15 +10,15 @@
 namespace tideline::soak {
 namespace {
 
-constexpr std::array<const char*, 3> kClasses = {"read", "charge", "instalment"};
+constexpr std::array<const char*, 3> kRequestClasses = {"read", "charge", "instalment"};
 constexpr Seconds kReconnectInterval = 0.02;
-constexpr Seconds kMostTime = 1.5;  // the time limit in the settings
+constexpr Seconds kMaxTimeLimit = 1.5;  // the time limit in the settings
 // Shares of the requests that are sent in pieces, have a short time limit, or whose client closes
 // the connection or its sending side before the answer.
-constexpr double kInPieces = 0.15;
-constexpr double kLittleTime = 0.1;
-constexpr double kClosedEarly = 0.05;
-constexpr double kHalfClosed = 0.02;
+constexpr double kSplitShare = 0.15;
+constexpr double kShortTimeLimitShare = 0.1;
+constexpr double kEarlyCloseShare = 0.05;
+constexpr double kHalfCloseShare = 0.02;
 
 }  // namespace
 
@@ -31,7 +31,7 @@
       name_(fmt::format("s{}", seed)) {}
 
 SoakClients::~SoakClients() {
-    loop_.timers.cancel(fill_timer_);
+    loop_.timers.cancel(reconnect_timer_);
     for (auto& [number, client] : clients_) {
         loop_.timers.cancel(client.timer);
     }
@@ -41,38 +41,38 @@
     return std::uniform_real_distribution<Seconds>(from, to)(random_);
 }
 
-void SoakClients::keep_open(int connections) {
-    wanted_ = connections;
-    fill();
+void SoakClients::keep_connections_open(int connections) {
+    target_count_ = connections;
+    open_missing_connections();
 }
 
 void SoakClients::set_reconnecting(bool reconnecting) {
     reconnecting_ = reconnecting;
-    fill();
+    open_missing_connections();
 }
 
-bool SoakClients::waiting() const {
+bool SoakClients::has_open_request() const {
     return std::any_of(clients_.begin(), clients_.end(),
                        [](const auto& each) { return each.second.request.has_value(); });
 }
 
-void SoakClients::process_killed() {
+void SoakClients::on_process_killed() {
     for (auto& [number, client] : clients_) {
-        if (client.request && record_.requests[*client.request].ending == Ending::open) {
-            record_.requests[*client.request].ending = Ending::process_vanished;
+        if (client.request && record_.requests[*client.request].outcome == RequestOutcome::open) {
+            record_.requests[*client.request].outcome = RequestOutcome::sidecar_killed;
         }
     }
 }
 
 // Opens the connections that are missing, and checks again after kReconnectInterval.
-void SoakClients::fill() {
-    loop_.timers.cancel(fill_timer_);
-    while (reconnecting_ && static_cast<int>(clients_.size()) < wanted_) {
+void SoakClients::open_missing_connections() {
+    loop_.timers.cancel(reconnect_timer_);
+    while (reconnecting_ && static_cast<int>(clients_.size()) < target_count_) {
         open_connection();
     }
-    fill_timer_ = loop_.timers.at(net::clock_now() + kReconnectInterval, [this] {
-        fill_timer_ = net::Timers::kNone;
-        fill();
+    reconnect_timer_ = loop_.timers.at(net::clock_now() + kReconnectInterval, [this] {
+        reconnect_timer_ = net::Timers::kNone;
+        open_missing_connections();
     });
 }
 
@@ -82,7 +82,7 @@
     clients_[number].connection = std::make_unique<SoakConnection>(loop_, owner, number, sidecar_);
 }
 
-void SoakClients::remove(int number) {
+void SoakClients::remove_client(int number) {
     const auto found = clients_.find(number);
     loop_.timers.cancel(found->second.timer);
     found->second.connection->close();
@@ -90,25 +90,26 @@
     clients_.erase(found);
 }
 
-void SoakClients::connection_free(int number) {
+void SoakClients::on_connection_free(int number) {
     Client& client = clients_.at(number);
     loop_.timers.cancel(client.timer);
     const Seconds pause = draw(0, 1) < 0.3 ? 0 : draw(0.001, 0.02);
     client.timer = loop_.timers.at(net::clock_now() + pause, [this, number] {
         clients_.at(number).timer = net::Timers::kNone;
-        next_request(number);
+        send_next_request(number);
     });
 }
 
-void SoakClients::next_request(int number) {
+void SoakClients::send_next_request(int number) {
     Client& client = clients_.at(number);
-    if (stopped_ || !client.connection->free()) {
+    if (stopped_ || !client.connection->is_free()) {
         return;
     }
     SoakRequest request;
     request.id = fmt::format("{}q{}", name_, ++last_request_);
-    request.request_class = kClasses[random_() % kClasses.size()];
-    request.time_limit = draw(0, 1) < kLittleTime ? draw(0.001, 0.02) : draw(0.3, kMostTime);
+    request.request_class = kRequestClasses[random_() % kRequestClasses.size()];
+    request.time_limit =
+        draw(0, 1) < kShortTimeLimitShare ? draw(0.001, 0.02) : draw(0.3, kMaxTimeLimit);
     request.sent_at = net::clock_now();
     const std::string key =
         request.request_class == "instalment" ? fmt::format(",k={}", request.id) : "";
@@ -123,39 +124,39 @@
 }
 
 std::deque<Piece> SoakClients::pieces_of(const std::string& message) {
-    if (draw(0, 1) >= kInPieces) {
+    if (draw(0, 1) >= kSplitShare) {
         return {{0, message}};
     }
     const std::size_t cut = 1 + random_() % (message.size() - 1);
     return {{0, message.substr(0, cut)}, {draw(0.001, 0.05), message.substr(cut)}};
 }
 
-void SoakClients::request_sent(int number) {
+void SoakClients::on_request_sent(int number) {
     Client& client = clients_.at(number);
     SoakRequest& request = record_.requests[*client.request];
     request.sent_at = net::clock_now();
-    const double kind = draw(0, 1);
-    if (kind >= kClosedEarly + kHalfClosed) {
+    const double choice = draw(0, 1);
+    if (choice >= kEarlyCloseShare + kHalfCloseShare) {
         return;
     }
-    const bool half = kind >= kClosedEarly;
-    client.timer = loop_.timers.at(net::clock_now() + draw(0, 0.03), [this, number, half] {
+    const bool closes_half = choice >= kEarlyCloseShare;
+    client.timer = loop_.timers.at(net::clock_now() + draw(0, 0.03), [this, number, closes_half] {
         Client& leaving = clients_.at(number);
         leaving.timer = net::Timers::kNone;
         if (!leaving.request) {
             return;
         }
-        SoakRequest& left = record_.requests[*leaving.request];
-        left.ending = Ending::client_gone;
-        if (half) {
+        SoakRequest& abandoned = record_.requests[*leaving.request];
+        abandoned.outcome = RequestOutcome::client_gone;
+        if (closes_half) {
             return leaving.connection->finish_sending();
         }
-        left.closed_at = net::clock_now();
-        remove(number);
+        abandoned.closed_at = net::clock_now();
+        remove_client(number);
     });
 }
 
-void SoakClients::request_answered(int number, const std::string* value) {
+void SoakClients::on_request_answered(int number, const std::string* value) {
     if (!first_answer_at_) {
         first_answer_at_ = net::clock_now();
     }
@@ -167,7 +168,7 @@
     SoakRequest& request = record_.requests[*client.request];
     if (++request.answers == 1) {
         request.answered_at = net::clock_now();
-        request.ending = Ending::answered;
+        request.outcome = RequestOutcome::answered;
         if (value) {
             request.value = *value;
         }
@@ -176,16 +177,16 @@
     client.request.reset();
 }
 
-void SoakClients::connection_ended(int number, bool unread) {
+void SoakClients::on_connection_ended(int number, bool unread) {
     Client& client = clients_.at(number);
     if (client.request) {
         SoakRequest& request = record_.requests[*client.request];
         request.ended_at = net::clock_now();
-        if (request.ending == Ending::open) {
-            request.ending = unread ? Ending::closed_unread : Ending::closed_read;
+        if (request.outcome == RequestOutcome::open) {
+            request.outcome = unread ? RequestOutcome::closed_unread : RequestOutcome::closed_read;
         }
     }
-    remove(number);
+    remove_client(number);
 }
 
 }  // namespace tideline::soak
--- a/tools/soak/soak_clients.hpp
+++ b/tools/soak/soak_clients.hpp
@@ -23,20 +23,20 @@
     SoakClients& operator=(const SoakClients&) = delete;
 
     // Keeps at least `connections` connections open while the sidecar can be reached.
-    void keep_open(int connections);
+    void keep_connections_open(int connections);
     // Sets whether connections that end are replaced by new ones.
     void set_reconnecting(bool reconnecting);
     // To be called when the soak kills the sidecar: requests that wait for an answer then count as
     // cut off by the soak.
-    void process_killed();
+    void on_process_killed();
     // Sends no further requests.
     void stop() {
         stopped_ = true;
     }
     // Whether a request waits for its answer.
-    bool waiting() const;
+    bool has_open_request() const;
     // To be called when a process was started: the first answer after this shows that it is ready.
-    void process_started() {
+    void on_process_started() {
         first_answer_at_.reset();
     }
     std::optional<Seconds> first_answer_at() const {
@@ -49,16 +49,16 @@
         std::optional<std::size_t> request;  // index of the request that is open, in the record
         net::Timers::Id timer = net::Timers::kNone;
     };
-    void connection_free(int number) override;
-    void request_sent(int number) override;
-    void request_answered(int number, const std::string* value) override;
-    void connection_ended(int number, bool unread) override;
+    void on_connection_free(int number) override;
+    void on_request_sent(int number) override;
+    void on_request_answered(int number, const std::string* value) override;
+    void on_connection_ended(int number, bool unread) override;
 
     Seconds draw(Seconds from, Seconds to);
-    void fill();
+    void open_missing_connections();
     void open_connection();
-    void remove(int number);
-    void next_request(int number);
+    void remove_client(int number);
+    void send_next_request(int number);
     std::deque<Piece> pieces_of(const std::string& message);
 
     net::EventLoop& loop_;
@@ -68,12 +68,12 @@
     const std::string name_;
     std::map<int, Client> clients_;
     int last_number_ = 0;
-    int wanted_ = 0;
+    int target_count_ = 0;
     std::uint64_t last_request_ = 0;
     bool reconnecting_ = true;
     bool stopped_ = false;
     std::optional<Seconds> first_answer_at_;
-    net::Timers::Id fill_timer_ = net::Timers::kNone;
+    net::Timers::Id reconnect_timer_ = net::Timers::kNone;
 };
 
 }  // namespace tideline::soak
--- a/tools/soak/soak_connection.cpp
+++ b/tools/soak/soak_connection.cpp
@@ -17,9 +17,9 @@
 constexpr std::size_t kMaxAnswerBytes = 65536;
 // s: the sidecar shuts down its sending side first and closes the socket half a second later. Only
 // then does the kernel reset the connection, if something was left unread.
-constexpr Seconds kResetWithin = 0.8;
+constexpr Seconds kResetTimeout = 0.8;
 // In a DataRow with one column, the column count and the size precede the value.
-constexpr std::size_t kRowHeadBytes = 6;
+constexpr std::size_t kDataRowHeaderBytes = 6;
 
 }  // namespace
 
@@ -59,10 +59,10 @@
 void SoakConnection::send(std::deque<Piece> pieces) {
     free_ = false;
     pieces_ = std::move(pieces);
-    send_next();
+    send_next_piece();
 }
 
-void SoakConnection::send_next() {
+void SoakConnection::send_next_piece() {
     piece_timer_ = loop_.timers.at(net::clock_now() + pieces_.front().pause, [this] {
         piece_timer_ = net::Timers::kNone;
         const std::string bytes = std::exchange(pieces_.front().bytes, {});
@@ -70,9 +70,9 @@
         // An error that send() reports is not reported again by SO_ERROR.
         reset_ |= ::send(fd_.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL) < 0;
         if (pieces_.empty()) {
-            owner_.request_sent(number_);
+            owner_.on_request_sent(number_);
         } else {
-            send_next();
+            send_next_piece();
         }
     });
 }
@@ -83,7 +83,7 @@
         socklen_t size = sizeof error;
         ::getsockopt(fd_.get(), SOL_SOCKET, SO_ERROR, &error, &size);
         if (error != 0) {
-            return end(true);
+            return end_connection(true);
         }
         connecting_ = false;
         loop_.set_events(fd_.get(), POLLIN);
@@ -98,31 +98,31 @@
 
 void SoakConnection::read() {
     char bytes[16384];
-    const ssize_t got = ::recv(fd_.get(), bytes, sizeof bytes, 0);
-    if (got < 0 && (errno == EAGAIN || errno == EINTR)) {
+    const ssize_t received = ::recv(fd_.get(), bytes, sizeof bytes, 0);
+    if (received < 0 && (errno == EAGAIN || errno == EINTR)) {
         return;
     }
-    if (got < 0) {
-        return end(true);
+    if (received < 0) {
+        return end_connection(true);
     }
-    if (got > 0) {
-        in_.append(bytes, static_cast<std::size_t>(got));
-        return take_messages();
+    if (received > 0) {
+        in_.append(bytes, static_cast<std::size_t>(received));
+        return process_messages();
     }
     // The sidecar has closed its sending side. If it leaves something unread a reset follows.
     loop_.set_events(fd_.get(), 0);
     if (end_timer_ == net::Timers::kNone) {
-        end_timer_ = loop_.timers.at(net::clock_now() + kResetWithin, [this] {
+        end_timer_ = loop_.timers.at(net::clock_now() + kResetTimeout, [this] {
             end_timer_ = net::Timers::kNone;
             int error = 0;
             socklen_t size = sizeof error;
             ::getsockopt(fd_.get(), SOL_SOCKET, SO_ERROR, &error, &size);
-            end(reset_ || error != 0);
+            end_connection(reset_ || error != 0);
         });
     }
 }
 
-void SoakConnection::take_messages() {
+void SoakConnection::process_messages() {
     while (fd_.valid()) {
         char type = 0;
         std::string_view body;
@@ -132,25 +132,25 @@
         }
         const std::string content(body);
         in_.erase(0, size);
-        if (type == 'D' && content.size() >= kRowHeadBytes) {
-            value_ = content.substr(kRowHeadBytes);
+        if (type == 'D' && content.size() >= kDataRowHeaderBytes) {
+            value_ = content.substr(kDataRowHeaderBytes);
         } else if (type == 'C') {
-            owner_.request_answered(number_, &value_);
-        } else if (type == 'E' && welcomed_) {
-            owner_.request_answered(number_, nullptr);
+            owner_.on_request_answered(number_, &value_);
+        } else if (type == 'E' && startup_done_) {
+            owner_.on_request_answered(number_, nullptr);
         } else if (type == 'Z') {
-            welcomed_ = true;
+            startup_done_ = true;
             free_ = pieces_.empty();
-            owner_.connection_free(number_);
+            owner_.on_connection_free(number_);
         }
     }
 }
 
-void SoakConnection::end(bool unread) {
+void SoakConnection::end_connection(bool unread) {
     // The sidecar can't have read a request that was not sent completely.
     const bool incomplete = !pieces_.empty();
     close();
-    owner_.connection_ended(number_, unread || incomplete);
+    owner_.on_connection_ended(number_, unread || incomplete);
 }
 
 }  // namespace tideline::soak
--- a/tools/soak/soak_connection.hpp
+++ b/tools/soak/soak_connection.hpp
@@ -25,13 +25,13 @@
       public:
         virtual ~Owner() = default;
         // The sidecar has completed the startup or an answer: the next request may be sent.
-        virtual void connection_free(int number) = 0;
+        virtual void on_connection_free(int number) = 0;
         // The last byte of the request was written.
-        virtual void request_sent(int number) = 0;
+        virtual void on_request_sent(int number) = 0;
         // A final answer has arrived: a value, or an error, for which `value` is null.
-        virtual void request_answered(int number, const std::string* value) = 0;
+        virtual void on_request_answered(int number, const std::string* value) = 0;
         // The connection has ended. `unread`: the sidecar had not read all that was sent.
-        virtual void connection_ended(int number, bool unread) = 0;
+        virtual void on_connection_ended(int number, bool unread) = 0;
     };
     // Connects; `owner` and `loop` must outlive this object.
     SoakConnection(net::EventLoop& loop, Owner& owner, int number, const net::Address& sidecar);
@@ -43,16 +43,16 @@
     void send(std::deque<Piece> pieces);
     void close();
     void finish_sending();
-    bool free() const {
+    bool is_free() const {
         return free_ && fd_.valid();
     }
 
   private:
     void ready(short events) override;
-    void send_next();
+    void send_next_piece();
     void read();
-    void take_messages();
-    void end(bool unread);
+    void process_messages();
+    void end_connection(bool unread);
 
     net::EventLoop& loop_;
     Owner& owner_;
@@ -61,7 +61,7 @@
     std::string in_;
     std::deque<Piece> pieces_;
     bool connecting_ = true;
-    bool welcomed_ = false;
+    bool startup_done_ = false;
     bool free_ = false;
     bool reset_ = false;  // sending a piece failed because the connection was reset
     std::string value_;
--- a/tools/soak/soak_run.cpp
+++ b/tools/soak/soak_run.cpp
@@ -23,20 +23,20 @@
 using namespace fakes;
 using nlohmann::json;
 
-constexpr int kEndpoints = 4;
+constexpr int kEndpointCount = 4;
 constexpr int kSteadyConnections = 8;
 constexpr int kCrowdConnections = 150;
-constexpr int kSockets = 512;
-constexpr int kFewSockets = 96;
+constexpr int kSocketLimit = 512;
+constexpr int kLowSocketLimit = 96;
 // With every third seed the sidecar may use only few sockets.
-constexpr std::uint32_t kFewSocketsEvery = 3;
+constexpr std::uint32_t kSeedsPerLowSocketLimit = 3;
 // s after SIGTERM: until then clients still connect.
-constexpr Seconds kConnectAfterTerm = 0.3;
+constexpr Seconds kReconnectDuration = 0.3;
 // s after SIGTERM: the earliest SIGKILL that the protocol allows, which is the longest time limit
 // plus 0.7 s.
-constexpr Seconds kKillAfterTerm = 1.5 + 0.7;
-constexpr Seconds kServesWithin = 12;
-constexpr Seconds kHang = 30;
+constexpr Seconds kMinKillDelay = 1.5 + 0.7;
+constexpr Seconds kServingTimeout = 12;
+constexpr Seconds kHangDuration = 30;
 // s: the drain grace of the settings, plus how long a process may be suspended.
 constexpr Seconds kDrainGrace = 0.5 + 0.15;
 
@@ -48,20 +48,20 @@
   private:
     void set_up_fakes();
     void write_config();
-    void start();
-    void shut_down();
-    void end_life();
-    void apply(const Step& step);
-    void term_with(int second, Seconds gap);
-    void move();
+    void start_process();
+    void await_shutdown();
+    void record_process_end();
+    void apply_step(const Step& step);
+    void terminate_and_restart(int second_signal, Seconds gap);
+    void change_discovery_address();
     void announce_change();
     void drain_endpoint();
     void set_hanging(bool hanging);
     void run_for(Seconds span) {
         run_until(loop_, span, [] { return false; });
     }
-    SidecarLife& life() {
-        return result_.record.lives.back();
+    SidecarProcess& process_record() {
+        return result_.record.processes.back();
     }
 
     const SoakOptions& options_;
@@ -74,9 +74,9 @@
     std::unique_ptr<SoakClients> clients_;
     Process process_;
     int discovery_in_use_ = 0;
-    int muted_steps_ = 0;
-    int drains_ = 0;
-    bool drains_in_progress_ = false;
+    int remaining_muted_steps_ = 0;
+    int drain_count_ = 0;
+    bool is_draining_ = false;
     std::uintmax_t log_size_ = 0;
 };
 
@@ -97,7 +97,7 @@
                      discovery_.add_listener(at_port(2, 8500)) >= 0 &&
                      platform_.add_listener(at_port(1, 6400)) >= 0;
     platform_.advances_by_votes = false;
-    for (int i = 0; i < kEndpoints; ++i) {
+    for (int i = 0; i < kEndpointCount; ++i) {
         endpoints_.push_back(
             std::make_unique<FakeEndpoint>(loop_, options_.seed + static_cast<std::uint32_t>(i)));
         endpoints_.back()->build = 41;
@@ -116,7 +116,9 @@
         {"listen", text_of(at_port(257, 5433))},
         {"discovery", text_of(at_port(1 + discovery_in_use_, 8500))},
         {"seed", fmt::format("8c1f30d2{:08x}", options_.seed)},
-        {"limits", {{"sockets", options_.seed % kFewSocketsEvery == 0 ? kFewSockets : kSockets}}},
+        {"limits",
+         {{"sockets",
+           options_.seed % kSeedsPerLowSocketLimit == 0 ? kLowSocketLimit : kSocketLimit}}},
         {"deployer", {{"address", text_of(at_port(1, 6400))}, {"news", platform_.state()}}},
         {"known", discovery_.snapshot()},
         {"settings", settings(1)}};
@@ -125,57 +127,60 @@
     std::filesystem::rename(path + ".new", path);
 }
 
-void SoakRun::start() {
+void SoakRun::start_process() {
     write_config();
     const std::string log = result_.folder + "/log";
     std::error_code missing;
     log_size_ = std::filesystem::exists(log) ? std::filesystem::file_size(log, missing) : 0;
-    result_.record.lives.push_back({});
-    life().started_at = net::clock_now();
+    result_.record.processes.push_back({});
+    process_record().started_at = net::clock_now();
     process_.start({options_.program, "sidecar", "--config", result_.folder + "/config.json"}, log);
     // A change confirms the endpoint list to a sidecar that has just connected. Without one this
     // takes 2.1 s, which is longer than most processes of a soak run.
     for (const Seconds after : {0.1, 0.4, 0.8}) {
         loop_.timers.at(net::clock_now() + after, [this] { announce_change(); });
     }
-    clients_->process_started();
+    clients_->on_process_started();
     clients_->set_reconnecting(true);
 }
 
 // Waits for the end of the process after the first SIGTERM. It has to serve its connected clients
 // on and to end before the earliest SIGKILL.
-void SoakRun::shut_down() {
-    const Seconds term_at = *life().term_at;
-    run_until(loop_, term_at + kConnectAfterTerm - net::clock_now(),
+void SoakRun::await_shutdown() {
+    const Seconds sigterm_at = *process_record().sigterm_at;
+    run_until(loop_, sigterm_at + kReconnectDuration - net::clock_now(),
               [&] { return !process_.runs(); });
     clients_->set_reconnecting(false);
-    run_until(loop_, term_at + kKillAfterTerm - net::clock_now(), [&] { return !process_.runs(); });
+    run_until(loop_, sigterm_at + kMinKillDelay - net::clock_now(),
+              [&] { return !process_.runs(); });
     if (process_.runs()) {
-        life().overdue = true;
+        process_record().overdue = true;
         process_.signal(SIGKILL);
     }
-    end_life();
+    record_process_end();
 }
 
-void SoakRun::end_life() {
-    life().exit_status = process_.wait();
-    life().ready_at = life().ready_at ? life().ready_at : clients_->first_answer_at();
+void SoakRun::record_process_end() {
+    process_record().exit_status = process_.wait();
+    process_record().ready_at =
+        process_record().ready_at ? process_record().ready_at : clients_->first_answer_at();
     const std::string log = result_.folder + "/log";
-    life().wrote_log = std::filesystem::exists(log) && std::filesystem::file_size(log) > log_size_;
+    process_record().wrote_log =
+        std::filesystem::exists(log) && std::filesystem::file_size(log) > log_size_;
 }
 
-void SoakRun::term_with(int second, Seconds gap) {
-    life().term_at = net::clock_now();
+void SoakRun::terminate_and_restart(int second_signal, Seconds gap) {
+    process_record().sigterm_at = net::clock_now();
     process_.signal(SIGTERM);
     run_for(gap);
-    if (second != 0) {
-        process_.signal(second);
+    if (second_signal != 0) {
+        process_.signal(second_signal);
     }
-    shut_down();
-    start();
+    await_shutdown();
+    start_process();
 }
 
-void SoakRun::move() {
+void SoakRun::change_discovery_address() {
     discovery_in_use_ = 1 - discovery_in_use_;
     write_config();
     process_.signal(SIGHUP);
@@ -184,7 +189,7 @@
 // Announces a change without a difference: an endpoint as it was.
 void SoakRun::announce_change() {
     const std::size_t last = endpoint_ids_.size() - 1;
-    if (!drains_in_progress_) {
+    if (!is_draining_) {
         discovery_.put(endpoint_entry(endpoint_ids_[last],
                                       text_of(at_port(512 + static_cast<int>(last), 5432)), 41));
     }
@@ -192,90 +197,90 @@
 
 // Lists an endpoint as draining, removes it, and lists the same server under another id.
 void SoakRun::drain_endpoint() {
-    const int index = drains_++ % kEndpoints;
+    const int index = drain_count_++ % kEndpointCount;
     std::string& id = endpoint_ids_[static_cast<std::size_t>(index)];
     const std::string address = text_of(at_port(512 + index, 5432));
     json entry = endpoint_entry(id, address, 41);
     entry["phase"] = "Draining";
     const Seconds from = net::clock_now();
-    drains_in_progress_ = true;
+    is_draining_ = true;
     discovery_.put(entry);
     run_for(1.2);
     discovery_.remove(id);
     run_for(0.2);
     result_.record.drains.push_back({index, from, net::clock_now()});
-    id = fmt::format("pod-{}-{}", index, drains_);
+    id = fmt::format("pod-{}-{}", index, drain_count_);
     discovery_.put(endpoint_entry(id, address, 41));
-    drains_in_progress_ = false;
+    is_draining_ = false;
 }
 
 void SoakRun::set_hanging(bool hanging) {
     for (auto& endpoint : endpoints_) {
-        endpoint->min_latency = hanging ? kHang : 0.004;
-        endpoint->max_latency = hanging ? kHang : 0.012;
+        endpoint->min_latency = hanging ? kHangDuration : 0.004;
+        endpoint->max_latency = hanging ? kHangDuration : 0.012;
     }
 }
 
-void SoakRun::apply(const Step& step) {
+void SoakRun::apply_step(const Step& step) {
     run_for(step.pause);
-    if (muted_steps_ > 0 && --muted_steps_ == 0) {
+    if (remaining_muted_steps_ > 0 && --remaining_muted_steps_ == 0) {
         discovery_.mute(0, false);
         discovery_.mute(1, false);
     }
     switch (step.kind) {
         case StepKind::term:
-            return term_with(0, 0);
+            return terminate_and_restart(0, 0);
         case StepKind::term_twice:
-            return term_with(SIGTERM, step.argument);
+            return terminate_and_restart(SIGTERM, step.argument);
         case StepKind::hup_series:
             for (int i = 0; i < 3; ++i) {
-                move();
+                change_discovery_address();
                 run_for(step.argument);
             }
             return;
         case StepKind::hup_then_term:
             process_.signal(SIGHUP);
-            return term_with(0, 0);
+            return terminate_and_restart(0, 0);
         case StepKind::term_then_hup:
-            return term_with(SIGHUP, 0);
+            return terminate_and_restart(SIGHUP, 0);
         case StepKind::move_then_term:
-            move();
+            change_discovery_address();
             run_for(step.argument);
-            return term_with(0, 0);
+            return terminate_and_restart(0, 0);
         case StepKind::early_term:
-            term_with(0, 0);
+            terminate_and_restart(0, 0);
             run_for(step.argument);
-            return term_with(0, 0);
+            return terminate_and_restart(0, 0);
         case StepKind::stop_in_shutdown:
-            life().term_at = net::clock_now();
+            process_record().sigterm_at = net::clock_now();
             process_.signal(SIGTERM);
             process_.signal(SIGSTOP);
             run_for(step.argument);
             process_.signal(SIGCONT);
-            shut_down();
-            return start();
+            await_shutdown();
+            return start_process();
         case StepKind::kill:
-            life().killed = true;
+            process_record().killed = true;
             process_.signal(SIGKILL);
-            clients_->process_killed();
-            end_life();
-            return start();
+            clients_->on_process_killed();
+            record_process_end();
+            return start_process();
         case StepKind::crowd:
-            clients_->keep_open(kCrowdConnections);
+            clients_->keep_connections_open(kCrowdConnections);
             run_for(0.3);
-            return clients_->keep_open(kSteadyConnections);
+            return clients_->keep_connections_open(kSteadyConnections);
         case StepKind::hang:
             set_hanging(true);
             run_for(0.2);
-            term_with(0, 0);
+            terminate_and_restart(0, 0);
             return set_hanging(false);
         case StepKind::mute:
             discovery_.mute(0, true);
             discovery_.mute(1, true);
-            muted_steps_ = 2;
+            remaining_muted_steps_ = 2;
             return;
         case StepKind::drain:
-            if (muted_steps_ == 0) {
+            if (remaining_muted_steps_ == 0) {
                 drain_endpoint();
             }
             return;
@@ -283,20 +288,20 @@
 }
 
 SoakResult SoakRun::run() {
-    start();
-    clients_->keep_open(kSteadyConnections);
+    start_process();
+    clients_->keep_connections_open(kSteadyConnections);
     for (const Step& step : options_.schedule) {
-        apply(step);
+        apply_step(step);
     }
-    run_until(loop_, kServesWithin, [&] { return clients_->first_answer_at().has_value(); });
-    life().ready_at = clients_->first_answer_at().value_or(net::clock_now());
+    run_until(loop_, kServingTimeout, [&] { return clients_->first_answer_at().has_value(); });
+    process_record().ready_at = clients_->first_answer_at().value_or(net::clock_now());
     run_for(0.5);
     clients_->stop();
-    run_until(loop_, 3, [&] { return !clients_->waiting(); });
-    life().term_at = net::clock_now();
+    run_until(loop_, 3, [&] { return !clients_->has_open_request(); });
+    process_record().sigterm_at = net::clock_now();
     process_.signal(SIGTERM);
-    shut_down();
-    for (int i = 0; i < kEndpoints; ++i) {
+    await_shutdown();
+    for (int i = 0; i < kEndpointCount; ++i) {
         for (const ReceivedRequest& received : endpoints_[static_cast<std::size_t>(i)]->received) {
             result_.record.attempts.push_back(
                 {received.at, received.request_id, received.request_class, i});
