--- a/src/cli/lease.cpp
+++ b/src/cli/lease.cpp
@@ -17,9 +17,9 @@
 
 using nlohmann::ordered_json;
 
-constexpr int kDone = 0;
-constexpr int kRefused = 1;
-constexpr int kUnknown = 2;
+constexpr int kExitDone = 0;
+constexpr int kExitRefused = 1;
+constexpr int kExitUnknown = 2;
 
 std::string utc_text(double unix_time) {
     if (unix_time <= 0) {
@@ -101,7 +101,7 @@
                    held ? std::to_string(lease.now().fence()) : "-", utc_text(lease.now().from()),
                    held ? fmt::format("{:.1f} s", lease.left()) : "-", waiting,
                    lease.withdrawn()
-                       ? " (taken away: the next gets it once its holder's time is over)"
+                       ? " (revoked: the next candidate acquires it once it has expired)"
                        : "");
         const std::vector<wire::HoldingState> newest_first(lease.past().rbegin(),
                                                            lease.past().rend());
@@ -126,15 +126,15 @@
         case LeaseCommand::Action::list_planners:
             request.set_what(Request::TABLE);
             break;
-        case LeaseCommand::Action::revoke:
+        case LeaseCommand::Action::revoke_lease:
             request.set_what(Request::TAKE_AWAY);
             request.set_lease(command.name);
             break;
-        case LeaseCommand::Action::admit:
+        case LeaseCommand::Action::admit_planner:
             request.set_what(Request::ADMIT);
             request.set_key(command.name);
             break;
-        case LeaseCommand::Action::remove:
+        case LeaseCommand::Action::remove_planner:
             request.set_what(Request::REMOVE);
             request.set_key(command.name);
             break;
@@ -142,7 +142,8 @@
     return request;
 }
 
-// Nothing if there is no valid answer in time; the reason is printed then.
+// Sends the request to the planner. If no valid answer arrives in time, prints the reason and
+// returns nothing.
 std::optional<wire::LeaseAnswer> ask_planner(const LeaseCommand& command,
                                              const net::Address& address) {
     net::EventLoop loop;
@@ -160,7 +161,7 @@
     return query.answer;
 }
 
-// The exit status.
+// Prints the table and returns the exit status.
 int show_table(const LeaseCommand& command, const wire::PlannerTable& table) {
     if (table.stale()) {
         fmt::print(stderr, "tideline: {} knows of no leader: the table may be stale\n",
@@ -174,35 +175,37 @@
     } else {
         print_leases(table);
     }
-    return table.stale() ? kUnknown : kDone;
+    return table.stale() ? kExitUnknown : kExitDone;
 }
 
 }  // namespace
 
 int run_lease_command(const LeaseCommand& command) {
-    const auto answer = ask_planner(command, query_address(command.address));
+    const auto answer = ask_planner(command, parse_query_address(command.address));
     if (!answer) {
-        return kUnknown;
+        return kExitUnknown;
     }
     if (static_cast<lease::Answer>(answer->what()) == lease::Answer::refused) {
         fmt::print(stderr, "tideline: refused: {}\n", answer->why());
-        return kRefused;
+        return kExitRefused;
     }
     switch (command.action) {
         case LeaseCommand::Action::list_leases:
         case LeaseCommand::Action::list_planners:
             return show_table(command, answer->table());
-        case LeaseCommand::Action::revoke:
-            fmt::print("revoked: renewed no more; granted anew once its holder's time is over\n");
+        case LeaseCommand::Action::revoke_lease:
+            fmt::print(
+                "revoked: the lease is no longer renewed; it is granted again once it has "
+                "expired\n");
             break;
-        case LeaseCommand::Action::admit:
-            fmt::print("admitted: it catches up first, then votes\n");
+        case LeaseCommand::Action::admit_planner:
+            fmt::print("admitted: the planner catches up first and then votes\n");
             break;
-        case LeaseCommand::Action::remove:
+        case LeaseCommand::Action::remove_planner:
             fmt::print("removed\n");
             break;
     }
-    return kDone;
+    return kExitDone;
 }
 
 }  // namespace tideline::cli
--- a/src/cli/replication.cpp
+++ b/src/cli/replication.cpp
@@ -15,10 +15,10 @@
 namespace tideline::cli {
 namespace {
 
-constexpr int kDone = 0;
-constexpr int kUnknown = 2;
+constexpr int kExitDone = 0;
+constexpr int kExitUnknown = 2;
 
-void set_key(const std::string& key, wire::AskHoldings& request) {
+void set_requested_key(const std::string& key, wire::AskHoldings& request) {
     const auto first_comma = key.find(',');
     const auto second_comma = key.find(',', first_comma + 1);
     if (first_comma == std::string::npos || second_comma == std::string::npos ||
@@ -34,14 +34,15 @@
 wire::AskHoldings request_of(const ReplicationCommand& command) {
     wire::AskHoldings request;
     if (!command.key.empty()) {
-        set_key(command.key, request);
+        set_requested_key(command.key, request);
     }
     request.set_give_up(command.removed_member);
     request.set_epochs_of(command.epochs_of);
     return request;
 }
 
-// Nothing if there is no answer in time; the reason is printed then.
+// Sends the request to the member. If no answer arrives in time, prints the reason and returns
+// nothing.
 std::optional<wire::Holdings> ask_member(const ReplicationCommand& command,
                                          const net::Address& address) {
     net::EventLoop loop;
@@ -54,8 +55,8 @@
     return query.answer;
 }
 
-// Prints what kept the member from a full answer, if anything did. Whether something did.
-bool report_obstacle(const wire::Holdings& answer) {
+// Prints why the member could not answer in full, if it gave a reason. Returns whether it did.
+bool print_failure_reason(const wire::Holdings& answer) {
     if (answer.why().empty()) {
         return false;
     }
@@ -73,26 +74,26 @@
 }
 
 int show_record(const ReplicationCommand& command, const wire::Holdings& answer) {
-    if (report_obstacle(answer)) {
-        return kUnknown;
+    if (print_failure_reason(answer)) {
+        return kExitUnknown;
     }
     std::optional<replication::Record> record;
     if (answer.has_record()) {
         record = replication::record_from(0, answer.record());
     }
     print_answer(command, record);
-    return kDone;
+    return kExitDone;
 }
 
 int show_epochs(const ReplicationCommand& command, const wire::Holdings& answer) {
     const std::vector<audit::Record> epochs = replicated_epochs(answer);
     print_answer(command, epochs);
     if (epochs.empty()) {
-        fmt::print(stderr, "tideline: --epochs {}: no other member keeps epochs of it\n",
+        fmt::print(stderr, "tideline: --epochs {}: no other member stores epochs of this member\n",
                    command.epochs_of);
     }
-    const bool incomplete = report_obstacle(answer);
-    return epochs.empty() || incomplete ? kUnknown : kDone;
+    const bool incomplete = print_failure_reason(answer);
+    return epochs.empty() || incomplete ? kExitUnknown : kExitDone;
 }
 
 int show_status(const ReplicationCommand& command, const wire::Holdings& answer) {
@@ -107,9 +108,9 @@
 }  // namespace
 
 int show_replication(const ReplicationCommand& command) {
-    const auto answer = ask_member(command, query_address(command.address));
+    const auto answer = ask_member(command, parse_query_address(command.address));
     if (!answer) {
-        return kUnknown;
+        return kExitUnknown;
     }
     if (!command.key.empty()) {
         return show_record(command, *answer);
@@ -117,15 +118,15 @@
     if (!command.epochs_of.empty()) {
         return show_epochs(command, *answer);
     }
-    if (report_obstacle(*answer)) {
-        return kUnknown;
+    if (print_failure_reason(*answer)) {
+        return kExitUnknown;
     }
     if (command.removed_member.empty()) {
         return show_status(command, *answer);
     }
-    fmt::print("{} is notified: the replicas of {} count as lost\n", answer->steward(),
+    fmt::print("{} was notified that the replicas of {} count as lost\n", answer->steward(),
                command.removed_member);
-    return kDone;
+    return kExitDone;
 }
 
 }  // namespace tideline::cli
--- a/src/cli/sidecar.cpp
+++ b/src/cli/sidecar.cpp
@@ -13,9 +13,9 @@
 
 using namespace tideline::net;
 
-// Reads the configuration again at SIGHUP. The file may be missing, half written or wrong: then the
-// present configuration stays in use, and the file is read again after a backoff, without another
-// line in the log.
+// Reloads the configuration at SIGHUP. If the file is missing, incomplete or invalid, the present
+// configuration stays in use and the file is read again after a backoff. Only the first failure is
+// logged.
 class ConfigurationReload {
   public:
     ConfigurationReload(EventLoop& loop, Log& log, Sidecar& sidecar, cluster::ClusterMember* member,
@@ -29,26 +29,26 @@
     void begin() {
         loop_.timers.cancel(retry_timer_);
         backoff_ = kInitialReconnectBackoff;
-        asked_at_ = loop_.arrived_after();
-        attempt(true);
+        requested_at_ = loop_.arrived_after();
+        try_reload(true);
     }
 
   private:
-    void attempt(bool first) {
+    void try_reload(bool is_first_try) {
         retry_timer_ = Timers::kNone;
         try {
-            // Both files are read before either is applied: else one could be applied and the other
-            // rejected.
+            // Both files are read before either is applied, so that an error in one of them leaves
+            // both unapplied.
             const SidecarConfig config = read_sidecar_config(command_.config_path);
             if (member_) {
                 member_->apply_config(cluster::cluster_config_of(command_.cluster_config_path));
             }
-            sidecar_.reload(config, asked_at_);
+            sidecar_.reload(config, requested_at_);
         } catch (const std::exception& error) {
-            if (first) {
+            if (is_first_try) {
                 log_.line("configuration rejected: error=\"{}\" kept=present", error.what());
             }
-            retry_timer_ = loop_.timers.at(clock_now() + backoff_, [this] { attempt(false); });
+            retry_timer_ = loop_.timers.at(clock_now() + backoff_, [this] { try_reload(false); });
             backoff_ = std::min(kMaxReconnectBackoff, 2 * backoff_);
         }
     }
@@ -58,11 +58,12 @@
     cluster::ClusterMember* const member_;
     const SidecarCommand command_;
     Seconds backoff_ = kInitialReconnectBackoff;
-    Seconds asked_at_ = 0;  // the signal came no earlier
+    Seconds requested_at_ = 0;  // the signal arrived at this time or later
     Timers::Id retry_timer_ = Timers::kNone;
 };
 
-constexpr Seconds kMaxSettleTime = 0.5;  // s: a graceful shutdown waits no longer for other members
+constexpr Seconds kMaxSettleTime =
+    0.5;  // s: a graceful shutdown waits at most this long for other members
 
 slow_start::SlowStartSettings slow_start_settings(const SidecarConfig& config) {
     slow_start::SlowStartSettings settings;
@@ -73,8 +74,8 @@
     return settings;
 }
 
-// For how long the effect log needs the records of a request class, in s; 0: it needs none.
-// `prefix`: of the settings of the class, as operations.0.
+// Returns for how long the effect log has to keep the records of a request class, in s; 0 if it
+// needs none. `prefix` is the prefix of the settings of the class, such as operations.0.
 Seconds needed_retention(const SidecarConfig& config, const std::string& prefix) {
     const auto effect = config.settings.find(prefix + ".effect");
     if (effect == config.settings.end() || effect->second == Setting{std::string("idempotent")}) {
@@ -87,8 +88,9 @@
     return repeat_window + config.need(prefix + ".time_limit");
 }
 
-// Effects have to be kept for at least as long as endpoints recognise repeats: after a shorter time
-// a late repeat would take effect again.
+// Throws std::runtime_error if the effect log keeps records for a shorter time than some request
+// class needs. Records have to be kept for at least as long as endpoints recognise repeats: after a
+// shorter time a late repeat would take effect again.
 void check_retention(const SidecarConfig& config, const cluster::ClusterConfig& cluster_config) {
     if (!cluster_config.replication.enabled) {
         return;
@@ -99,10 +101,10 @@
         const std::string prefix = "operations." + std::to_string(i);
         const Seconds needed = needed_retention(config, prefix);
         if (retention < needed) {
-            throw std::runtime_error(
-                fmt::format("copies.keep is {} s; allowed are at least the {} s that {} needs: its "
-                            "repeat_window and its time_limit",
-                            retention, needed, prefix));
+            throw std::runtime_error(fmt::format(
+                "copies.keep is {} s, but has to be at least the {} s that {} needs: the "
+                "sum of its repeat_window and its time_limit",
+                retention, needed, prefix));
         }
     }
 }
@@ -111,7 +113,7 @@
 
 int run_sidecar(const SidecarCommand& command) {
     const SidecarConfig config = read_sidecar_config(command.config_path);
-    Log log(command.log);
+    Log log(command.log_form);
     // By default protobuf writes errors to standard error itself, and would block on a slow reader.
     google::protobuf::SetLogHandler(nullptr);
     EventLoop loop;
@@ -130,10 +132,11 @@
         member->begin(sidecar);
     }
     ConfigurationReload reload(loop, log, sidecar, member.get(), command);
-    bool ending = false;
+    bool shutting_down = false;
     Seconds done_since = 0;
-    // The outcome of the last attempts is sent to the other members first, for a limited time.
-    const auto done = [&] {
+    // Before the process ends, the outcomes of the last attempts are sent to the other members, for
+    // a limited time.
+    const auto may_exit = [&] {
         if (!sidecar.done()) {
             return false;
         }
@@ -142,16 +145,16 @@
         }
         return !member || member->settled() || clock_now() > done_since + kMaxSettleTime;
     };
-    while (!done()) {
+    while (!may_exit()) {
         loop.pass();
         log.flush();
-        if (std::exchange(signals.reload_requested, false) && !ending) {
+        if (std::exchange(signals.reload_requested, false) && !shutting_down) {
             reload.begin();
         }
-        if (!signals.shutdown_requested || ending) {
+        if (!signals.shutdown_requested || shutting_down) {
             continue;
         }
-        ending = true;
+        shutting_down = true;
         log.line("shutdown started: closing_clients_in_s={}", kShutdownOverlap);
         if (member) {
             member->leave();
--- a/tools/demo/rollout.cpp
+++ b/tools/demo/rollout.cpp
@@ -31,22 +31,23 @@
     return values[static_cast<std::size_t>(quantile * static_cast<double>(values.size() - 1))];
 }
 
-// The processes of one demonstration, the fakes around them, and the steps in their order.
+// Owns the processes of one demonstration and the fakes around them.
 class Rollout {
   public:
     explicit Rollout(const Options& options);
-    // Each step prints what it shows.
+    // The steps of the demonstration, in the order in which they have to be called. Those that have
+    // results print them.
     void start_planners();
     void start_sidecars();
     void wait_until_placed();
-    void play_rollout();
-    void print_clients();
+    void run_rollout();
+    void print_client_results();
     void print_audit();
     void print_leases();
     void lose_machine();
     void stop_processes();
-    // Whether all was as expected; then the folder is removed.
-    bool finish();
+    // Prints and returns whether everything was as expected, and then removes the folder.
+    bool report_outcome();
 
   private:
     void add_endpoints(int build);
@@ -54,7 +55,7 @@
     std::string planner_addresses() const;
     nlohmann::json sidecar_settings(int sidecar) const;
     std::string cluster_config(int sidecar) const;
-    bool lease_acquired(const std::string& lease) const;
+    bool has_acquired_lease(const std::string& lease) const;
     std::string votes_of(std::size_t sidecar) const;
 
     const Options& options_;
@@ -72,26 +73,26 @@
     std::size_t succeeded_ = 0;
     bool leases_held_ = true;
     int lost_sidecar_ = -1;
-    bool records_kept_ = true;
+    bool machine_loss_passed_ = true;
     int failed_exits_ = 0;
 };
 
-std::string new_folder() {
+std::string create_folder() {
     char folder[] = "/tmp/tideline-try-XXXXXX";
     if (!::mkdtemp(folder)) {
-        throw std::runtime_error("no folder under /tmp");
+        throw std::runtime_error("can't create a folder under /tmp");
     }
     return folder;
 }
 
-// The exit status of a command; its output is shown below the command.
-int show_command(const std::string& command) {
+// Prints and runs a shell command, which prints its own output. Returns its exit status.
+int run_command(const std::string& command) {
     fmt::print("\n$ {}\n", command);
     std::fflush(stdout);
     return std::system(command.c_str());
 }
 
-Rollout::Rollout(const Options& options) : options_(options), folder_(new_folder()) {
+Rollout::Rollout(const Options& options) : options_(options), folder_(create_folder()) {
     effects_.repeatable = {"instalment"};
     add_endpoints(kCurrentBuild);
     platform_.votes_to_advance = std::max(1, options_.sidecars / 2 + 1);
@@ -103,7 +104,7 @@
         endpoints_.push_back(
             std::make_unique<FakeEndpoint>(loop_, static_cast<std::uint32_t>(host)));
         if (!endpoints_.back()->listen(at_port(host, kEndpointPort))) {
-            throw std::runtime_error("can't listen for pods");
+            throw std::runtime_error("can't listen at the address of a fake endpoint");
         }
         endpoints_.back()->effects = &effects_;
         if (options_.trial_fails && build == kTrialBuild) {
@@ -118,7 +119,7 @@
     std::string list;
     for (int i = 0; i < options_.planners; ++i) {
         list += fmt::format("{}{{ name = \"p{}\"; address = \"{}\"; }}", i ? ", " : "", i,
-                            text_of(at_port(kFirstPlanner + i, kPlannerPort)));
+                            text_of(at_port(kFirstPlannerHost + i, kPlannerPort)));
     }
     return list;
 }
@@ -126,7 +127,7 @@
     std::string addresses;
     for (int i = 0; i < options_.planners; ++i) {
         addresses += fmt::format("{}\"{}\"", i ? ", " : "",
-                                 text_of(at_port(kFirstPlanner + i, kPlannerPort)));
+                                 text_of(at_port(kFirstPlannerHost + i, kPlannerPort)));
     }
     return addresses;
 }
@@ -137,7 +138,7 @@
             "planner = {{ name = \"p{}\"; listen = \"{}\"; folder = \"{}.disk\"; planners = ( {} "
             ");\n"
             "  leases = {{ span = 3.0; }}; }};\n",
-            i, text_of(at_port(kFirstPlanner + i, kPlannerPort)), path, planner_list());
+            i, text_of(at_port(kFirstPlannerHost + i, kPlannerPort)), path, planner_list());
         std::vector<std::string> command{options_.program, "planner", "--file", path + ".cfg"};
         if (i == 0) {
             command.emplace_back("--found");
@@ -185,7 +186,8 @@
         const int host = 256 + i;
         if (discovery_.add_listener(at_port(host, kDiscoveryPort)) < 0 ||
             platform_.add_listener(at_port(host, kPlatformPort)) < 0) {
-            throw std::runtime_error("can't listen for list and platform");
+            throw std::runtime_error(
+                "can't listen at the address of the fake discovery or release platform");
         }
         const std::string path = fmt::format("{}/n{}", folder_, i);
         std::ofstream(path + ".json") << sidecar_settings(i).dump(1);
@@ -200,43 +202,46 @@
                                                          fmt::format("c{}", i),
                                                          static_cast<std::uint32_t>(7 + i)));
     }
-    pass_for(loop_, 0.5);
+    run_loop_for(loop_, 0.5);
     for (const auto& each : sidecars_) {
         if (!each->runs()) {
-            throw std::runtime_error(fmt::format("a sidecar did not start, see {}", folder_));
+            throw std::runtime_error(
+                fmt::format("a sidecar did not start; its log is in {}", folder_));
         }
     }
 }
 
-// Before all replicas are placed nothing that may not run twice is taken.
+// Waits until all replicas are placed. Before that, sidecars reject requests that must not run
+// twice.
 void Rollout::wait_until_placed() {
-    const Seconds placed_by = net::clock_now() + (options_.replicas > 0 ? kPlacedWithin : 0);
-    while (net::clock_now() < placed_by &&
+    const Seconds deadline = net::clock_now() + (options_.replicas > 0 ? kPlacementTimeout : 0);
+    while (net::clock_now() < deadline &&
            std::system(fmt::format("{} holdings --at {} >/dev/null 2>&1", options_.program,
                                    text_of(at_port(256, kClusterPort)))
                            .c_str()) != 0) {
-        pass_for(loop_, 0.3);
+        run_loop_for(loop_, 0.3);
     }
 }
 
-void Rollout::play_rollout() {
+void Rollout::run_rollout() {
     for (auto& each : clients_) {
         each->begin(options_.rate);
     }
     const Seconds start = net::clock_now();
     fmt::print(
-        "{} sidecars, {} pods of build {}, {:.0f} invocations a second; build {} comes after {} "
-        "s{}\n",
+        "{} sidecars, {} endpoints of build {}, {:.0f} requests per second; build {} is offered "
+        "after {} s{}\n",
         options_.sidecars, kEndpointsPerBuild, kCurrentBuild, options_.rate * options_.sidecars,
-        kTrialBuild, kTrialStart, options_.trial_fails ? " and fails 40%" : "");
-    pass_for(loop_, start + kTrialStart - net::clock_now());
+        kTrialBuild, kTrialStartDelay,
+        options_.trial_fails ? " and fails 40% of its attempts" : "");
+    run_loop_for(loop_, start + kTrialStartDelay - net::clock_now());
     add_endpoints(kTrialBuild);
     platform_.offer(kTrialBuild);
-    pass_for(loop_, start + options_.length - net::clock_now());
+    run_loop_for(loop_, start + options_.duration - net::clock_now());
     for (auto& each : clients_) {
         each->stop();
     }
-    pass_for(loop_, 1.6);
+    run_loop_for(loop_, 1.6);
 }
 
 std::string Rollout::votes_of(std::size_t sidecar) const {
@@ -252,7 +257,7 @@
     }
     return text;
 }
-void Rollout::print_clients() {
+void Rollout::print_client_results() {
     fmt::print("\n{:8} {:>6} {:>10} {:>10} {:>11} {:>10} {:>8} {:>8} {:>16}\n", "sidecar", "taken",
                "succeeded", "throttled", "terminated", "unanswered", "p50 ms", "p99 ms", "votes");
     for (std::size_t i = 0; i < clients_.size(); ++i) {
@@ -281,12 +286,12 @@
     }
     const std::string audit =
         fmt::format("{} audit --at {}", options_.program, text_of(at_port(256, kClusterPort)));
-    if (show_command(audit) != 0) {
-        fmt::print("the audit says that not all is well\n");
+    if (run_command(audit) != 0) {
+        fmt::print("the audit reports members that lag behind or could not be queried\n");
     }
 }
 
-bool Rollout::lease_acquired(const std::string& lease) const {
+bool Rollout::has_acquired_lease(const std::string& lease) const {
     for (int i = 0; i < options_.sidecars; ++i) {
         std::ifstream log(fmt::format("{}/n{}.log", folder_, i));
         const std::string text{std::istreambuf_iterator<char>(log), {}};
@@ -300,16 +305,16 @@
     if (planners_.empty()) {
         return;
     }
-    const std::string at = text_of(at_port(kFirstPlanner + 1, kPlannerPort));
+    const std::string planner_address = text_of(at_port(kFirstPlannerHost + 1, kPlannerPort));
     for (const char* command : {"planners list", "lease list"}) {
-        leases_held_ &=
-            show_command(fmt::format("{} {} --at {}", options_.program, command, at)) == 0;
+        leases_held_ &= run_command(fmt::format("{} {} --at {}", options_.program, command,
+                                                planner_address)) == 0;
     }
     for (const char* lease : {"roll-call", "warming"}) {
-        leases_held_ &= lease_acquired(lease);
+        leases_held_ &= has_acquired_lease(lease);
     }
     if (!leases_held_) {
-        fmt::print("nobody holds a lease\n");
+        fmt::print("a lease was not acquired, or the planners could not be queried\n");
     }
 }
 
@@ -318,7 +323,8 @@
         return;
     }
     lost_sidecar_ = 1;
-    records_kept_ = lose_a_machine(options_, folder_, loop_, effects_, endpoints_, *sidecars_[1]);
+    machine_loss_passed_ =
+        demonstrate_machine_loss(options_, folder_, loop_, effects_, endpoints_, *sidecars_[1]);
 }
 
 void Rollout::stop_processes() {
@@ -329,7 +335,7 @@
     for (auto& each : sidecars_) {
         each->signal(SIGTERM);
     }
-    pass_for(loop_, 1.5);
+    run_loop_for(loop_, 1.5);
     for (std::size_t i = 0; i < sidecars_.size(); ++i) {
         failed_exits_ +=
             static_cast<int>(i) != lost_sidecar_ && sidecars_[i]->ended() != std::optional<int>(0);
@@ -337,44 +343,45 @@
     for (auto& each : planners_) {
         each->signal(SIGTERM);
     }
-    pass_for(loop_, planners_.empty() ? 0 : 0.3);
+    run_loop_for(loop_, planners_.empty() ? 0 : 0.3);
     for (auto& each : planners_) {
         failed_exits_ += each->ended() != std::optional<int>(0);
     }
     if (failed_exits_ > 0) {
-        fmt::print("{} processes did not end in order, see {}\n", failed_exits_, folder_);
+        fmt::print("{} processes did not end with status 0; their logs are in {}\n", failed_exits_,
+                   folder_);
     }
 }
 
-bool Rollout::finish() {
+bool Rollout::report_outcome() {
     const auto state = platform_.state();
     const std::string expected_status = options_.trial_fails ? "revert" : "stable";
     const bool passed = unanswered_ == 0 && succeeded_ > 0 && failed_exits_ == 0 && leases_held_ &&
-                        records_kept_ && state["version"] == kTrialBuild &&
+                        machine_loss_passed_ && state["version"] == kTrialBuild &&
                         state["status"].get<std::string>().starts_with(expected_status);
     if (passed) {
         std::filesystem::remove_all(folder_);
     }
-    fmt::print("{}\n", passed ? "all as it should be"
-                              : fmt::format("not as it should be; logs in {}", folder_));
+    fmt::print("{}\n", passed ? "the demonstration succeeded"
+                              : fmt::format("the demonstration failed; logs are in {}", folder_));
     return passed;
 }
 
 }  // namespace
 
-int run(const Options& options) {
+int run_demonstration(const Options& options) {
     std::signal(SIGPIPE, SIG_IGN);
     Rollout rollout(options);
     rollout.start_planners();
     rollout.start_sidecars();
     rollout.wait_until_placed();
-    rollout.play_rollout();
-    rollout.print_clients();
+    rollout.run_rollout();
+    rollout.print_client_results();
     rollout.print_audit();
     rollout.print_leases();
     rollout.lose_machine();
     rollout.stop_processes();
-    return rollout.finish() ? 0 : 1;
+    return rollout.report_outcome() ? 0 : 1;
 }
 
 }  // namespace tideline::demo
--- a/tools/fakes/repeating_clients.cpp
+++ b/tools/fakes/repeating_clients.cpp
@@ -24,19 +24,19 @@
 }
 void RepeatingClients::begin(double rate) {
     rate_ = rate;
-    schedule_next();
+    schedule_next_request();
 }
 void RepeatingClients::stop() {
     stopped_ = true;
     loop_.timers.cancel(next_timer_);
 }
-void RepeatingClients::schedule_next() {
+void RepeatingClients::schedule_next_request() {
     next_timer_ = loop_.timers.at(net::clock_now() - std::log(draw(1e-9, 1)) / rate_, [this] {
         next_timer_ = net::Timers::kNone;
         submit(request_classes_[static_cast<std::size_t>(
                    draw(0, static_cast<double>(request_classes_.size())))],
                static_cast<int>(draw(0, static_cast<double>(sidecars_.size()))));
-        schedule_next();
+        schedule_next_request();
     });
 }
 std::size_t RepeatingClients::submit(const std::string& request_class, int sidecar,
@@ -101,7 +101,7 @@
                              schedule_retry(request_index, draw(0.01, 0.4));
                          }
                      });
-    // No answer within the time limit: its client retries elsewhere.
+    // If no answer arrives within the time limit, the client retries at a random sidecar.
     const auto alive = alive_;
     loop_.timers.at(net::clock_now() + time_limit + 0.2, [this, alive, request_index, number] {
         if (*alive && requests[request_index].attempts[number].answers == 0) {
--- a/tools/fakes/server.hpp
+++ b/tools/fakes/server.hpp
@@ -1,4 +1,5 @@
-// What the fakes share: a listener that owns its connections until their peer ends them.
+// The TCP server that the fakes share: a listener that owns its connections until their peers close
+// them.
 #pragma once
 
 #include <map>
@@ -9,7 +10,7 @@
 
 namespace tideline::fakes {
 
-// Connection is a net::TcpConnection built from (EventLoop&, Owner&, int number).
+// Connection is a net::TcpConnection that is constructed from (EventLoop&, Owner&, int number).
 template <class Connection, class Owner>
 class Server {
   public:
@@ -18,7 +19,7 @@
     bool listen(const net::Address& address) {
         return listener_.listen(address);
     }
-    // Ends all connections, as a process that dies.
+    // Stops listening and closes all connections, as if the process had died.
     void close() {
         listener_.close();
         for (auto& [number, connection] : connections_) {
@@ -30,7 +31,7 @@
     bool open() const {
         return listener_.open();
     }
-    // Ends one connection; no effect where it has ended.
+    // Closes one connection; has no effect if it has ended already.
     void drop(int number) {
         const auto it = connections_.find(number);
         if (it == connections_.end()) {
@@ -40,9 +41,9 @@
         loop_.destroy_after_pass(std::move(it->second));
         connections_.erase(it);
     }
-    // Calls it with each connection; the call may drop that connection.
+    // Invokes `call` with each connection; `call` may drop that connection.
     template <class Call>
-    void each(Call call) {
+    void for_each_connection(Call call) {
         for (auto it = connections_.begin(); it != connections_.end();) {
             call(*(it++)->second);
         }
@@ -53,7 +54,7 @@
 
   private:
     void on_accepted(int fd) {
-        const int number = next_++;
+        const int number = next_number_++;
         auto connection = std::make_unique<Connection>(loop_, owner_, number);
         connection->adopt(fd);
         connections_.emplace(number, std::move(connection));
@@ -62,7 +63,7 @@
     Owner& owner_;
     net::Listener listener_;
     std::map<int, std::unique_ptr<Connection>> connections_;
-    int next_ = 0;
+    int next_number_ = 0;
 };
 
 }  // namespace tideline::fakes
--- a/tools/soak/soak_clients.hpp
+++ b/tools/soak/soak_clients.hpp
@@ -1,5 +1,5 @@
-// The clients of a soak: they keep using every open connection until the sidecar ends, send in
-// pieces, with little time, close early, and come back.
+// The clients of a soak. They keep using every open connection until the sidecar ends. Some of
+// their requests are sent in pieces, have a short time limit, or are abandoned by an early close.
 #pragma once
 
 #include <map>
@@ -15,27 +15,28 @@
 
 class SoakClients : SoakConnection::Owner {
   public:
-    // Adds the requests to `record`. All arguments outlive this.
+    // Adds the requests to `record`. `loop` and `record` must outlive this object.
     SoakClients(net::EventLoop& loop, SoakRecord& record, const net::Address& sidecar,
                 std::uint32_t seed);
     ~SoakClients() override;
     SoakClients(const SoakClients&) = delete;
     SoakClients& operator=(const SoakClients&) = delete;
 
-    // Keeps so many connections open while the sidecar can be reached.
-    void keep_open(int connections);
-    // Whether a connection that ended is opened again.
+    // Keeps at least `connections` connections open while the sidecar can be reached.
+    void keep_connections_open(int connections);
+    // Sets whether connections that end are replaced by new ones.
     void set_reconnecting(bool reconnecting);
-    // The soak kills the process now: what waits for an answer was cut off by the soak itself.
-    void process_killed();
-    // No further request is sent.
+    // To be called when the soak kills the sidecar: requests that wait for an answer then count as
+    // cut off by the soak.
+    void on_process_killed();
+    // Sends no further requests.
     void stop() {
         stopped_ = true;
     }
     // Whether a request waits for its answer.
-    bool waiting() const;
-    // A process was started: the first answer after this shows that it is ready.
-    void process_started() {
+    bool has_open_request() const;
+    // To be called when a process was started: the first answer after this shows that it is ready.
+    void on_process_started() {
         first_answer_at_.reset();
     }
     std::optional<Seconds> first_answer_at() const {
@@ -45,19 +46,19 @@
   private:
     struct Client {
         std::unique_ptr<SoakConnection> connection;
-        std::optional<std::size_t> request;  // in the record
+        std::optional<std::size_t> request;  // index of the request that is open, in the record
         net::Timers::Id timer = net::Timers::kNone;
     };
-    void connection_free(int number) override;
-    void request_sent(int number) override;
-    void request_answered(int number, const std::string* value) override;
-    void connection_ended(int number, bool unread) override;
+    void on_connection_free(int number) override;
+    void on_request_sent(int number) override;
+    void on_request_answered(int number, const std::string* value) override;
+    void on_connection_ended(int number, bool unread) override;
 
     Seconds draw(Seconds from, Seconds to);
-    void fill();
+    void open_missing_connections();
     void open_connection();
-    void remove(int number);
-    void next_request(int number);
+    void remove_client(int number);
+    void send_next_request(int number);
     std::deque<Piece> pieces_of(const std::string& message);
 
     net::EventLoop& loop_;
@@ -67,12 +68,12 @@
     const std::string name_;
     std::map<int, Client> clients_;
     int last_number_ = 0;
-    int wanted_ = 0;
+    int target_count_ = 0;
     std::uint64_t last_request_ = 0;
     bool reconnecting_ = true;
     bool stopped_ = false;
     std::optional<Seconds> first_answer_at_;
-    net::Timers::Id fill_timer_ = net::Timers::kNone;
+    net::Timers::Id reconnect_timer_ = net::Timers::kNone;
 };
 
 }  // namespace tideline::soak
