--- a/tools/fault_tests/check.cpp
+++ b/tools/fault_tests/check.cpp
@@ -15,41 +15,43 @@
 using namespace fakes;
 
 // Allowances of the check, each for what lies between a fact and the record of it.
-constexpr Seconds kRestartWithin = 1;    // s: a process that was started serves by then
+constexpr Seconds kRestartTimeout = 1;   // s: a process that was started serves by then
 constexpr Seconds kShutdownGrace = 0.6;  // s: after SIGTERM requests are still taken
-constexpr Seconds kOnTheWay =
-    0.15;                       // s: an attempt on its way when its sidecar changed participation
-constexpr Seconds kWindow = 2;  // s: of exposure, as in the settings
-constexpr Seconds kCapNotifiedWithin = 0.8;  // s: drain grace, and until sidecars have a lower cap
-constexpr double kAllowance = 2;             // dispatches, as in the settings
-constexpr Seconds kCutSeen = 0.5;            // s: what was on its way when a link was cut
-
-bool up_throughout(const SidecarCluster::Member& member, Seconds from, Seconds to) {
-    return std::any_of(member.up.begin(), member.up.end(), [&](const Interval& span) {
-        return from >= span.from + kRestartWithin && to < span.to;
-    });
+constexpr Seconds kInFlightTolerance =
+    0.15;  // s: an attempt on its way when its sidecar changed participation
+constexpr Seconds kExposureWindow = 2;    // s: of exposure, as in the settings
+constexpr Seconds kCapUpdateDelay = 0.8;  // s: drain grace, and until sidecars have a lower cap
+constexpr double kExposureAllowance = 2;  // dispatches, as in the settings
+constexpr Seconds kCutEffectDelay = 0.5;  // s: what was on its way when a link was cut
+
+bool was_up_throughout(const SidecarCluster::Member& member, Seconds from, Seconds to) {
+    return std::any_of(member.up_intervals.begin(), member.up_intervals.end(),
+                       [&](const Interval& interval) {
+                           return from >= interval.from + kRestartTimeout && to < interval.to;
+                       });
 }
-bool up_at_some(const SidecarCluster::Member& member, Seconds from, Seconds to) {
-    return std::any_of(member.up.begin(), member.up.end(),
-                       [&](const Interval& span) { return span.from < to && span.to > from; });
+bool was_up_at_some_time(const SidecarCluster::Member& member, Seconds from, Seconds to) {
+    return std::any_of(
+        member.up_intervals.begin(), member.up_intervals.end(),
+        [&](const Interval& interval) { return interval.from < to && interval.to > from; });
 }
-bool cut_throughout(const SidecarCluster& cluster, int a, int b, Seconds from, Seconds to) {
-    const auto way = [&](int x, int y) {
+bool was_cut_throughout(const SidecarCluster& cluster, int a, int b, Seconds from, Seconds to) {
+    const auto is_link_cut = [&](int x, int y) {
         const auto it = cluster.cuts.find({x, y});
         return it != cluster.cuts.end() &&
-               std::any_of(it->second.begin(), it->second.end(), [&](const Interval& span) {
-                   return span.from + kCutSeen <= from && span.to >= to;
+               std::any_of(it->second.begin(), it->second.end(), [&](const Interval& interval) {
+                   return interval.from + kCutEffectDelay <= from && interval.to >= to;
                });
     };
-    return way(a, b) && way(b, a);
+    return is_link_cut(a, b) && is_link_cut(b, a);
 }
 
 }  // namespace
 
 std::vector<TrialParticipation> trial_participation_of(const SidecarCluster& cluster, int member) {
     std::vector<TrialParticipation> participation;
-    std::istringstream lines(cluster.log_of(member));
-    for (std::string line; std::getline(lines, line);) {
+    std::istringstream log_lines(cluster.log_of(member));
+    for (std::string line; std::getline(log_lines, line);) {
         const std::string event = "trial participation changed: value='";
         const auto at = line.find(event);
         if (at == std::string::npos) {
@@ -81,7 +83,7 @@
                 violations.add(fmt::format("n{}: another's value as an answer", i));
             }
             const Seconds end = each.sent_at + each.time_limit + 0.1;
-            if (!up_throughout(member, each.sent_at, end + kShutdownGrace) ||
+            if (!was_up_throughout(member, each.sent_at, end + kShutdownGrace) ||
                 end > net::clock_now()) {
                 continue;
             }
@@ -119,7 +121,7 @@
 }
 
 // When the build was released, from when on it is no trial.
-Seconds released_at(const SidecarCluster& cluster) {
+Seconds release_time(const SidecarCluster& cluster) {
     for (const auto& [at, cap] : cluster.caps) {
         if (cap > 1) {
             return at;
@@ -131,13 +133,13 @@
 // Nothing goes to the trial from a member that does not take part in it.
 void check_participation(const SidecarCluster& cluster, int i, const std::vector<Seconds>& times,
                          Violations& violations) {
-    const Seconds open_until = released_at(cluster);
+    const Seconds open_until = release_time(cluster);
     const auto participation = trial_participation_of(cluster, i);
     for (std::size_t s = 0; s < participation.size(); ++s) {
         if (participation[s].value != "no trial") {
             continue;
         }
-        const Seconds from = participation[s].at + kOnTheWay;
+        const Seconds from = participation[s].at + kInFlightTolerance;
         const Seconds to = s + 1 < participation.size() ? participation[s + 1].at : 1e18;
         for (const Seconds at : times) {
             if (at > from && at < std::min(to, open_until)) {
@@ -152,18 +154,18 @@
 // lower, but was the highest of late. A muted one acts on what it was told last: any cap so far.
 double highest_cap(const SidecarCluster& cluster, const SidecarCluster::Member& member,
                    Seconds now) {
-    const Seconds from = now - kWindow;
+    const Seconds from = now - kExposureWindow;
     double highest = cluster.platform.caps.front();  // of a build not yet announced
     for (const auto& [at, cap] : cluster.caps) {
-        if (at <= from - kCapNotifiedWithin) {
+        if (at <= from - kCapUpdateDelay) {
             highest = cap;
         } else if (at <= now) {
             highest = std::max(highest, cap);
         }
     }
-    const bool muted =
-        std::any_of(member.muted.begin(), member.muted.end(),
-                    [&](const Interval& span) { return span.from < now && span.to + 3 > from; });
+    const bool muted = std::any_of(
+        member.muted_intervals.begin(), member.muted_intervals.end(),
+        [&](const Interval& interval) { return interval.from < now && interval.to + 3 > from; });
     for (const auto& [at, cap] : cluster.caps) {
         if (muted && at <= now) {
             highest = std::max(highest, cap);
@@ -176,24 +178,25 @@
 void check_exposure(const SidecarCluster& cluster, int i, const std::vector<Seconds>& times,
                     Violations& violations) {
     const SidecarCluster::Member& member = cluster.members[static_cast<std::size_t>(i)];
-    const Seconds open_until = released_at(cluster);
+    const Seconds open_until = release_time(cluster);
     for (const Seconds now : times) {
         if (now >= open_until) {
             break;
         }
-        const Seconds from = now - kWindow;
+        const Seconds from = now - kExposureWindow;
         const double cap = highest_cap(cluster, member, now);
-        const auto sent = std::count_if(times.begin(), times.end(),
-                                        [&](Seconds at) { return at >= from && at <= now; });
-        const auto taken =
+        const auto dispatch_count = std::count_if(
+            times.begin(), times.end(), [&](Seconds at) { return at >= from && at <= now; });
+        const auto request_count =
             std::count_if(member.clients->requests.begin(), member.clients->requests.end(),
                           [&](const ClientRequest& each) {
                               return each.sent_at >= from - 1.6 && each.sent_at <= now;
                           });
-        const double most = kAllowance + std::min(1.0, cap) * static_cast<double>(taken);
-        if (static_cast<double>(sent) > 1.04 * most + 2) {
+        const double limit =
+            kExposureAllowance + std::min(1.0, cap) * static_cast<double>(request_count);
+        if (static_cast<double>(dispatch_count) > 1.04 * limit + 2) {
             violations.add(fmt::format("n{}: {} trial dispatches of {} taken in {} s, cap {}", i,
-                                       sent, taken, kWindow, cap));
+                                       dispatch_count, request_count, kExposureWindow, cap));
         }
     }
 }
@@ -201,30 +204,31 @@
 // The audit never shows as current who can't be reached, and never more shut out than the bound.
 void check_audits(const SidecarCluster& cluster, Violations& violations) {
     const int count = cluster.options.members;
-    const auto bound = static_cast<int>(std::floor(kMostOut * count));
+    const auto bound = static_cast<int>(std::floor(kMaxExcludedShare * count));
     for (const Audit& audit : cluster.audits) {
-        int out = 0;
+        int excluded_count = 0;
         for (const auto& [i, row] : audit.rows) {
-            out += row.state == "shut out";
+            excluded_count += row.state == "shut out";
             if (i < 1 || i > count || (row.state != "current" && row.state != "behind") ||
                 i == audit.asked_member) {
                 continue;
             }
-            if (!up_at_some(cluster.members[static_cast<std::size_t>(i)], audit.from - 0.05,
-                            audit.to)) {
+            if (!was_up_at_some_time(cluster.members[static_cast<std::size_t>(i)],
+                                     audit.from - 0.05, audit.to)) {
                 violations.add(fmt::format("n{} shows n{} as {} at {:.2f}, which was not there",
                                            audit.asked_member, i, row.state,
                                            audit.from - cluster.start));
             }
-            if (cut_throughout(cluster, audit.asked_member, i, audit.from, audit.to)) {
+            if (was_cut_throughout(cluster, audit.asked_member, i, audit.from, audit.to)) {
                 violations.add(
                     fmt::format("n{} shows n{} as {} at {:.2f}, from which it was cut off",
                                 audit.asked_member, i, row.state, audit.from - cluster.start));
             }
         }
-        if (out > bound) {
+        if (excluded_count > bound) {
             violations.add(fmt::format("n{} shows {} shut out at {:.2f}, {} at most",
-                                       audit.asked_member, out, audit.from - cluster.start, bound));
+                                       audit.asked_member, excluded_count,
+                                       audit.from - cluster.start, bound));
         }
     }
 }
--- a/tools/fault_tests/faulty_disk.cpp
+++ b/tools/fault_tests/faulty_disk.cpp
@@ -17,10 +17,10 @@
 
 namespace {
 
-long fsyncs = 0;
+long fsync_count = 0;
 
 // Whether this fault is set now.
-bool fault_is(const char* fault) {
+bool is_fault_active(const char* fault) {
     static const char* const path = std::getenv("TIDELINE_BADDISK");
     if (!path) {
         return false;
@@ -36,7 +36,7 @@
 }
 // The function that this library replaces.
 template <class Function>
-Function next(const char* name) {
+Function find_replaced_function(const char* name) {
     return reinterpret_cast<Function>(::dlsym(RTLD_NEXT, name));
 }
 
@@ -46,7 +46,7 @@
         return;
     }
     if (std::FILE* file = std::fopen(path, "w")) {
-        std::fprintf(file, "%ld", fsyncs);
+        std::fprintf(file, "%ld", fsync_count);
         std::fclose(file);
     }
 }
@@ -56,24 +56,25 @@
 extern "C" {
 
 int fsync(int fd) {
-    static const auto real = next<int (*)(int)>("fsync");
-    ++fsyncs;
-    if (fault_is("fsync")) {
+    static const auto real = find_replaced_function<int (*)(int)>("fsync");
+    ++fsync_count;
+    if (is_fault_active("fsync")) {
         return errno = EIO, -1;
     }
     return real(fd);
 }
 int fdatasync(int fd) {
-    static const auto real = next<int (*)(int)>("fdatasync");
-    ++fsyncs;
-    if (fault_is("fsync")) {
+    static const auto real = find_replaced_function<int (*)(int)>("fdatasync");
+    ++fsync_count;
+    if (is_fault_active("fsync")) {
         return errno = EIO, -1;
     }
     return real(fd);
 }
 ssize_t pwrite64(int fd, const void* data, size_t size, off64_t at) {
-    static const auto real = next<ssize_t (*)(int, const void*, size_t, off64_t)>("pwrite64");
-    if (fault_is("full")) {
+    static const auto real =
+        find_replaced_function<ssize_t (*)(int, const void*, size_t, off64_t)>("pwrite64");
+    if (is_fault_active("full")) {
         return errno = ENOSPC, -1;
     }
     return real(fd, data, size, at);
@@ -82,9 +83,9 @@
     return pwrite64(fd, data, size, at);
 }
 int clock_gettime(clockid_t clock, timespec* at) {
-    static const auto real = next<int (*)(clockid_t, timespec*)>("clock_gettime");
+    static const auto real = find_replaced_function<int (*)(clockid_t, timespec*)>("clock_gettime");
     const int result = real(clock, at);
-    if (clock == CLOCK_REALTIME && fault_is("back")) {
+    if (clock == CLOCK_REALTIME && is_fault_active("back")) {
         at->tv_sec -= 3600;
     }
     return result;
--- a/tools/fault_tests/fleet.hpp
+++ b/tools/fault_tests/fleet.hpp
@@ -11,25 +11,25 @@
 struct Fleet {
     // `base`: the sidecars' options, but for program, seed, folder and planners.
     explicit Fleet(const PlannerClusterOptions& options,
-                   const SidecarClusterOptions& base = usual())
-        : planners(loop, planners_of(options)),
-          sidecars(loop, fleet_of(options, base, planners.addresses())) {}
-    static SidecarClusterOptions usual() {
+                   const SidecarClusterOptions& base = default_sidecar_options())
+        : planners(loop, planner_options(options)),
+          sidecars(loop, sidecar_options(options, base, planners.addresses())) {}
+    static SidecarClusterOptions default_sidecar_options() {
         SidecarClusterOptions all;
         all.members = 6;
         all.warm_up = 3;
         all.rate = 25;
         return all;
     }
-    PlannerClusterOptions planners_of(PlannerClusterOptions options) const {
+    PlannerClusterOptions planner_options(PlannerClusterOptions options) const {
         options.planners = 3;
         options.holders = 0;
         options.first_host = 200;
         return options;
     }
-    static SidecarClusterOptions fleet_of(const PlannerClusterOptions& options,
-                                          SidecarClusterOptions all,
-                                          std::vector<std::string> planners) {
+    static SidecarClusterOptions sidecar_options(const PlannerClusterOptions& options,
+                                                 SidecarClusterOptions all,
+                                                 std::vector<std::string> planners) {
         all.program = options.program;
         all.seed = options.seed;
         all.keep_folder = true;
@@ -48,7 +48,7 @@
         }
     }
     // How often `text` stands in the logs of all members.
-    int lines(const std::string& text) const {
+    int count_in_logs(const std::string& text) const {
         int count = 0;
         for (int i = 1; i <= sidecars.options.members; ++i) {
             const std::string log = sidecars.log_of(i);
@@ -58,11 +58,11 @@
         }
         return count;
     }
-    bool wait_until(Seconds most, const std::function<bool()>& holds) {
-        return sidecars.run_until(most, holds);
+    bool wait_until(Seconds timeout, const std::function<bool()>& predicate) {
+        return sidecars.run_until(timeout, predicate);
     }
     // The member that holds a lease; 0: none, or no planner answers.
-    int holder(const std::string& lease) {
+    int find_lease_holder(const std::string& lease) {
         for (int i = 1; i <= planners.options.planners; ++i) {
             if (const auto table = planners.table(i)) {
                 for (const auto& each : table->leases()) {
--- a/tools/fault_tests/lease_grant_cost.cpp
+++ b/tools/fault_tests/lease_grant_cost.cpp
@@ -19,18 +19,18 @@
 namespace {
 
 using Clock = std::chrono::steady_clock;
-double since(Clock::time_point from) {
+double seconds_since(Clock::time_point from) {
     return std::chrono::duration<double>(Clock::now() - from).count();
 }
 
 // Acquires and releases so many leases at once over one connection, again and again.
 class GrantLoop : public net::TcpConnection {
   public:
-    GrantLoop(net::EventLoop& loop, const net::Address& address, int at_once)
-        : TcpConnection(loop), at_once_(at_once) {
+    GrantLoop(net::EventLoop& loop, const net::Address& address, int concurrency)
+        : TcpConnection(loop), concurrency_(concurrency) {
         open(address);
-        for (int i = 0; i < at_once_; ++i) {
-            ask(i, wire::LeaseAsk::TAKE, 0);
+        for (int i = 0; i < concurrency_; ++i) {
+            send_request(i, wire::LeaseAsk::TAKE, 0);
         }
     }
     long grants = 0;
@@ -40,29 +40,29 @@
 
   protected:
     void on_received() override {
-        std::string_view on_body;
-        std::string why;
-        for (std::size_t used = 0; cluster::next_frame(in_.all(), 1 << 20, on_body, used, why) ==
-                                   cluster::FrameRead::whole;) {
+        std::string_view body;
+        std::string error;
+        for (std::size_t frame_size = 0; cluster::next_frame(in_.all(), 1 << 20, body, frame_size,
+                                                             error) == cluster::FrameRead::whole;) {
             wire::Word message;
-            cluster::read_word(on_body, message);
-            in_.drop(used);
+            cluster::read_word(body, message);
+            in_.drop(frame_size);
             const auto& answer = message.lease_answer();
             const int task = static_cast<int>(answer.no() % 1000);
             switch (static_cast<lease::Answer>(answer.what())) {
                 case lease::Answer::granted:
                     ++grants;
-                    grant_times.push_back(net::clock_now() - asked_at_[task]);
-                    ask(task, wire::LeaseAsk::GIVE_BACK, answer.fence());
+                    grant_times.push_back(net::clock_now() - requested_at_[task]);
+                    send_request(task, wire::LeaseAsk::GIVE_BACK, answer.fence());
                     break;
                 case lease::Answer::over:
-                    ask(task, wire::LeaseAsk::TAKE, 0);
+                    send_request(task, wire::LeaseAsk::TAKE, 0);
                     break;
                 default:  // its release is still on its way through the log, or there is no
                           // leader
                     ++rejected;
                     loop_.timers.at(net::clock_now() + 0.002,
-                                    [this, task] { ask(task, wire::LeaseAsk::TAKE, 0); });
+                                    [this, task] { send_request(task, wire::LeaseAsk::TAKE, 0); });
             }
         }
     }
@@ -71,32 +71,32 @@
     }
 
   private:
-    void ask(int task, wire::LeaseAsk::What operation, std::uint64_t fence) {
+    void send_request(int task, wire::LeaseAsk::What operation, std::uint64_t fence) {
         if (closed()) {
             return;
         }
         wire::Word message;
-        wire::LeaseAsk& ask = *message.mutable_lease_ask();
-        ask.set_what(operation);
-        ask.set_lease(fmt::format("task-{}", task));
-        ask.set_fence(fence);
+        wire::LeaseAsk& request = *message.mutable_lease_ask();
+        request.set_what(operation);
+        request.set_lease(fmt::format("task-{}", task));
+        request.set_fence(fence);
         // Each round as another incarnation: a released token may not be used again.
         if (operation == wire::LeaseAsk::TAKE) {
-            ++rounds_[task];
-            asked_at_[task] = net::clock_now();
+            ++incarnations_[task];
+            requested_at_[task] = net::clock_now();
         }
-        ask.set_no(static_cast<std::uint64_t>(rounds_[task]) * 1000 +
-                   static_cast<std::uint64_t>(task));
-        ask.set_member(fmt::format("m{}", task));
-        ask.set_life(static_cast<std::uint64_t>(rounds_[task]));
+        request.set_no(static_cast<std::uint64_t>(incarnations_[task]) * 1000 +
+                       static_cast<std::uint64_t>(task));
+        request.set_member(fmt::format("m{}", task));
+        request.set_life(static_cast<std::uint64_t>(incarnations_[task]));
         put(cluster::frame_with(message));
     }
-    const int at_once_;
-    std::map<int, long> rounds_;
-    std::map<int, double> asked_at_;
+    const int concurrency_;
+    std::map<int, long> incarnations_;
+    std::map<int, double> requested_at_;
 };
 
-void measure_planners(PlannerClusterOptions options, int count, int at_once, Seconds span) {
+void measure_planners(PlannerClusterOptions options, int count, int concurrency, Seconds duration) {
     options.planners = count;
     options.holders = 0;
     options.bypass_relay = true;
@@ -104,8 +104,8 @@
     net::EventLoop loop;
     PlannerCluster cluster(loop, options);
     cluster.begin();
-    const int leads = cluster.leader();
-    GrantLoop grant_loop(loop, fakes::at_port(leads, kFleetPort, kListenNet), at_once);
+    const int leader = cluster.leader();
+    GrantLoop grant_loop(loop, fakes::at_port(leader, kClusterPort, kListenNetwork), concurrency);
     cluster.run(0.5);
     grant_loop.grants = 0;
     grant_loop.grant_times.clear();
@@ -116,13 +116,13 @@
         return fsyncs;
     };
     const auto from = Clock::now();
-    cluster.run(span);
-    const double took = since(from);
+    cluster.run(duration);
+    const double elapsed = seconds_since(from);
     const long grants = grant_loop.grants;
     std::vector<double> times = grant_loop.grant_times;
     std::sort(times.begin(), times.end());
     grant_loop.close();
-    const double cpu = cluster.cpu_of(leads);
+    const double cpu = cluster.cpu_of(leader);
     for (int i = 1; i <= count; ++i) {
         cluster.processes[static_cast<std::size_t>(i)]->signal(SIGTERM);
     }
@@ -134,16 +134,16 @@
     };
     // fsyncs over the whole life of the leader's process, which did little else.
     fmt::print("| {} planners | {} | {:.0f} | {:.2f} | {:.2f} | {:.1f} | {:.2f} |\n", count,
-               at_once, static_cast<double>(grants) / took, at(0.5), at(0.99),
-               static_cast<double>(fsyncs_at(leads)) / static_cast<double>(std::max(1L, grants)) *
-                   took / (took + 0.5),
+               concurrency, static_cast<double>(grants) / elapsed, at(0.5), at(0.99),
+               static_cast<double>(fsyncs_at(leader)) / static_cast<double>(std::max(1L, grants)) *
+                   elapsed / (elapsed + 0.5),
                cpu / static_cast<double>(std::max(1L, grants)) * 1e3);
     std::fflush(stdout);
     std::filesystem::remove_all(cluster.folder);
 }
 
 // The baseline: one process, one SQLite file, a transaction a grant and one a release.
-void measure_one_file(const std::string& folder, Seconds span) {
+void measure_single_database(const std::string& folder, Seconds duration) {
     sqlite3* db = nullptr;
     sqlite3_open((folder + "/one.db").c_str(), &db);
     const auto run = [&](const char* sql) { sqlite3_exec(db, sql, nullptr, nullptr, nullptr); };
@@ -153,53 +153,54 @@
     std::vector<double> times;
     const auto from = Clock::now();
     long grants = 0;
-    while (since(from) < span) {
+    while (seconds_since(from) < duration) {
         const auto started = Clock::now();
         run(fmt::format("INSERT OR REPLACE INTO lease VALUES ('task', 'm', {})", ++grants).c_str());
-        times.push_back(since(started));
+        times.push_back(seconds_since(started));
         run("UPDATE lease SET holder = NULL WHERE name = 'task'");
     }
     sqlite3_close(db);
     std::sort(times.begin(), times.end());
     fmt::print("| one SQLite file, no copies | 1 | {:.0f} | {:.2f} | {:.2f} | | |\n",
-               static_cast<double>(grants) / span, 1e3 * times[times.size() / 2],
+               static_cast<double>(grants) / duration, 1e3 * times[times.size() / 2],
                1e3 * times[times.size() * 99 / 100]);
 }
 
-raft::PersistRequest record(std::uint64_t at) {
+raft::PersistRequest make_persist_request(std::uint64_t at) {
     raft::PersistRequest request;
     request.first_index = {at};
     request.entries.push_back({{1}, raft::EntryKind::command, std::string(60, 'x'), {}});
     return request;
 }
-void measure_writes(const char* name, const std::function<void(std::uint64_t)>& store,
-                    Seconds span) {
+void measure_writes(const char* name, const std::function<void(std::uint64_t)>& store_record,
+                    Seconds duration) {
     const auto from = Clock::now();
     std::uint64_t count = 0;
-    while (since(from) < span) {
-        store(++count);
+    while (seconds_since(from) < duration) {
+        store_record(++count);
     }
-    fmt::print("| {} | {:.0f} | {:.3f} |\n", name, static_cast<double>(count) / span,
-               1e3 * span / static_cast<double>(count));
+    fmt::print("| {} | {:.0f} | {:.3f} |\n", name, static_cast<double>(count) / duration,
+               1e3 * duration / static_cast<double>(count));
 }
 
 // What ways to store one record durably cost, the chosen one first.
-void measure_sqlite(const std::string& folder, Seconds span) {
+void measure_sqlite(const std::string& folder, Seconds duration) {
     {
         planner::RaftStorage raft_storage(folder + "/a", cluster::Name{"p"}, 1,
                                           planner::RaftStorage::JournalMode::rollback);
         measure_writes(
             "SQLite, rollback journal (chosen)",
-            [&](auto at) { raft_storage.persist({record(at)}); }, span);
+            [&](auto at) { raft_storage.persist({make_persist_request(at)}); }, duration);
     }
     {
         planner::RaftStorage raft_storage(folder + "/b", cluster::Name{"p"}, 1,
                                           planner::RaftStorage::JournalMode::write_ahead);
         measure_writes(
-            "SQLite, write-ahead log", [&](auto at) { raft_storage.persist({record(at)}); }, span);
+            "SQLite, write-ahead log",
+            [&](auto at) { raft_storage.persist({make_persist_request(at)}); }, duration);
     }
 }
-void measure_own_log(const std::string& folder, Seconds span) {
+void measure_custom_log(const std::string& folder, Seconds duration) {
     const int fd = ::open((folder + "/log").c_str(), O_CREAT | O_WRONLY | O_APPEND, 0600);
     const std::string frame = cluster::frame_of(std::string(60, 'x'));
     measure_writes(
@@ -207,10 +208,10 @@
         [&](auto) {
             static_cast<void>(::write(fd, frame.data(), frame.size()) && ::fdatasync(fd));
         },
-        span);
+        duration);
     ::close(fd);
 }
-void measure_lmdb(const std::string& folder, Seconds span) {
+void measure_lmdb(const std::string& folder, Seconds duration) {
     MDB_env* env = nullptr;
     std::filesystem::create_directory(folder + "/c");
     ::mdb_env_create(&env);
@@ -229,13 +230,13 @@
             ::mdb_put(txn, dbi, &key, &value, 0);
             ::mdb_txn_commit(txn);
         },
-        span);
+        duration);
     ::mdb_env_close(env);
 }
 
 }  // namespace
 
-void measure_grants(const PlannerClusterOptions& options, Seconds span) {
+void measure_grants(const PlannerClusterOptions& options, Seconds duration) {
     char name[] = "/tmp/tideline-grants-XXXXXX";
     if (!::mkdtemp(name)) {
         throw std::runtime_error("no folder under /tmp");
@@ -245,21 +246,21 @@
         "one record of 60 bytes made to last, {} s each\n\n| way | a second | ms each |\n| --- | "
         "--- | --- "
         "|\n",
-        span);
-    measure_sqlite(folder, span);
-    measure_own_log(folder, span);
-    measure_lmdb(folder, span);
+        duration);
+    measure_sqlite(folder, duration);
+    measure_custom_log(folder, duration);
+    measure_lmdb(folder, duration);
     fmt::print(
         "\n{} s a row; times from a take to its grant\n\n"
         "| way | at once | grants a second | median, ms | p99, ms | fsyncs a grant, leader | CPU "
         "of the "
         "leader, ms a "
         "grant |\n| --- | --- | --- | --- | --- | --- | --- |\n",
-        span);
-    measure_one_file(folder, span);
+        duration);
+    measure_single_database(folder, duration);
     for (const int count : {3, 5}) {
-        for (const int at_once : {1, 16, 128}) {
-            measure_planners(options, count, at_once, span);
+        for (const int concurrency : {1, 16, 128}) {
+            measure_planners(options, count, concurrency, duration);
         }
     }
     std::filesystem::remove_all(folder);
--- a/tools/fault_tests/lease_holder.cpp
+++ b/tools/fault_tests/lease_holder.cpp
@@ -18,20 +18,20 @@
 
 using namespace tideline;
 
-constexpr Seconds kActEvery = 0.01;  // s
-constexpr Seconds kWantAgain = 0.4;  // s
-const lease::LeaseName kTask{"task"};
+constexpr Seconds kActionInterval = 0.01;  // s
+constexpr Seconds kReacquireDelay = 0.4;   // s
+const lease::LeaseName kTaskLease{"task"};
 
-volatile std::sig_atomic_t asked_to_give_back = 0;
+volatile std::sig_atomic_t release_requested = 0;
 
 // The connection to the target, which records the actions.
-class Target : public net::TcpConnection {
+class ActionTarget : public net::TcpConnection {
   public:
-    Target(net::EventLoop& loop, const net::Address& address)
+    ActionTarget(net::EventLoop& loop, const net::Address& address)
         : TcpConnection(loop), address_(address) {
         open(address);
     }
-    void say(const std::string& line) {
+    void send_line(const std::string& line) {
         if (closed()) {
             open(address_);
         }
@@ -49,25 +49,26 @@
 };
 
 // Owns the planner client and the connection to the target.
-class Holder : cluster::PlannerClient::Owner {
+class LeaseHolder : cluster::PlannerClient::Owner {
   public:
-    Holder(net::EventLoop& loop, net::Log& log, const std::vector<std::string>& planners,
-           const std::string& address, const lease::Member& self, const net::Address& target,
-           std::string mark)
+    LeaseHolder(net::EventLoop& loop, net::Log& log, const std::vector<std::string>& planners,
+                const std::string& address, const lease::Member& self, const net::Address& target,
+                std::string mark_path)
         : loop_(loop),
           name_(self.name.value),
-          mark_(std::move(mark)),
+          mark_path_(std::move(mark_path)),
           target_(loop, target),
-          tenant_(loop, log, *this, planners, {0.25, 0.5, 0.3}, address, self) {
-        tenant_.acquire(kTask);
-        act();
+          planner_client_(loop, log, *this, planners, {0.25, 0.5, 0.3}, address, self) {
+        planner_client_.acquire(kTaskLease);
+        act_if_allowed();
     }
-    void give_back() {
-        tenant_.release_all();
+    void release_leases() {
+        planner_client_.release_all();
     }
-    void give_back_for_a_while() {
-        tenant_.release_all();
-        loop_.timers.at(net::clock_now() + kWantAgain, [this] { tenant_.acquire(kTask); });
+    void release_leases_temporarily() {
+        planner_client_.release_all();
+        loop_.timers.at(net::clock_now() + kReacquireDelay,
+                        [this] { planner_client_.acquire(kTaskLease); });
     }
 
   private:
@@ -79,24 +80,25 @@
                            std::uint64_t) override {}
     void on_document_written(const lease::LeaseName&, std::uint64_t, bool) override {}
     void on_document_read(const lease::LeaseName&, std::uint64_t, const std::string&) override {}
-    void act() {
-        const Seconds before = lease::lasting_now();
-        const auto fence = tenant_.may_act(kTask);
-        const Seconds after = lease::lasting_now();
-        if (fence) {
+    void act_if_allowed() {
+        const Seconds checked_after = lease::lasting_now();
+        const auto token = planner_client_.may_act(kTaskLease);
+        const Seconds checked_before = lease::lasting_now();
+        if (token) {
             // The guard allowed the action, which has not been sent.
-            if (!mark_.empty() && std::filesystem::remove(mark_)) {
+            if (!mark_path_.empty() && std::filesystem::remove(mark_path_)) {
                 std::raise(SIGSTOP);
             }
-            target_.say(fmt::format("{} {} {:.6f} {:.6f}\n", name_, fence->value, before, after));
+            target_.send_line(fmt::format("{} {} {:.6f} {:.6f}\n", name_, token->value,
+                                          checked_after, checked_before));
         }
-        loop_.timers.at(net::clock_now() + kActEvery, [this] { act(); });
+        loop_.timers.at(net::clock_now() + kActionInterval, [this] { act_if_allowed(); });
     }
     net::EventLoop& loop_;
     const std::string name_;
-    const std::string mark_;
-    Target target_;
-    cluster::PlannerClient tenant_;
+    const std::string mark_path_;
+    ActionTarget target_;
+    cluster::PlannerClient planner_client_;
 };
 
 }  // namespace
@@ -105,7 +107,7 @@
     std::string name;
     std::string address;
     std::string target;
-    std::string mark;
+    std::string mark_path;
     std::vector<std::string> planners;
     CLI::App app("A member that does one task under a lease, for the rig.",
                  "tideline_lease_holder");
@@ -113,29 +115,29 @@
     app.add_option("--address", address, "the host it comes from, with any port")->required();
     app.add_option("--planners", planners)->required();
     app.add_option("--target", target, "host:port that its acts go to")->required();
-    app.add_option("--mark", mark,
+    app.add_option("--mark", mark_path,
                    "while this file is there, it stands still between guard and act, once");
     CLI11_PARSE(app, argc, argv);
     net::Log log;
     net::EventLoop loop;
     cli::Signals signals(loop);
-    std::signal(SIGUSR1, [](int) { asked_to_give_back = 1; });
+    std::signal(SIGUSR1, [](int) { release_requested = 1; });
     const auto incarnation = static_cast<std::uint64_t>(net::clock_now() * 1e3);
-    Holder holder(loop, log, planners, address,
-                  {lease::Name{name}, lease::Incarnation{incarnation}}, *net::address_of(target),
-                  mark);
+    LeaseHolder holder(loop, log, planners, address,
+                       {lease::Name{name}, lease::Incarnation{incarnation}},
+                       *net::address_of(target), mark_path);
     while (!signals.shutdown_requested) {
         loop.pass();
         log.flush();
-        if (asked_to_give_back) {
-            asked_to_give_back = 0;
-            holder.give_back_for_a_while();
+        if (release_requested) {
+            release_requested = 0;
+            holder.release_leases_temporarily();
         }
     }
-    holder.give_back();
-    bool over = false;
-    loop.timers.at(net::clock_now() + 0.2, [&] { over = true; });
-    while (!over) {
+    holder.release_leases();
+    bool wait_elapsed = false;
+    loop.timers.at(net::clock_now() + 0.2, [&] { wait_elapsed = true; });
+    while (!wait_elapsed) {
         loop.pass();
     }
     log.flush();
--- a/tools/fault_tests/lease_measurements.cpp
+++ b/tools/fault_tests/lease_measurements.cpp
@@ -21,13 +21,13 @@
         "| the holder is | times | median, s | p90 | worst | wrong |\n| --- | --- | --- | --- | "
         "--- | --- "
         "|\n",
-        options.planners, options.holders, kSpan, kDrift, kWait);
+        options.planners, options.holders, kLeaseDuration, kMaxClockDrift, kGrantorWaitDuration);
     for (const char* loss : {"killed", "stopped", "cut off", "asked to give it back"}) {
         PlannerClusterRun run(options);
         run.cluster.begin();
         std::vector<Seconds> gaps;
         for (int i = 0; i < times; ++i) {
-            const int holder = run.holder();
+            const int holder = run.wait_for_holder();
             const double node = holder;
             const std::string name = run.cluster.name_of(holder);
             const Seconds from = net::clock_now();
@@ -63,13 +63,13 @@
 }
 
 void measure_lease_cost(const PlannerClusterOptions& options) {
-    constexpr Seconds kRow = 20;
+    constexpr Seconds kRowDuration = 20;
     fmt::print(
         "6 sidecars at 25 invocations a second each, period 0.2 s, roll call every 0.5 s, renewals "
         "every 0.3 "
         "s, {} s a "
         "row\n\n| sidecars | CPU, ms a second | resident, KB |\n| --- | --- | --- |\n",
-        kRow);
+        kRowDuration);
     const auto row = [&](SidecarCluster& cluster, const char* who,
                          const std::function<bool(int)>& counts) {
         std::vector<double> before(static_cast<std::size_t>(cluster.options.members) + 1);
@@ -79,12 +79,12 @@
         for (int i = 1; i <= cluster.options.members; ++i) {
             before[static_cast<std::size_t>(i)] = cluster.cpu_of(i);
         }
-        cluster.run(kRow);
+        cluster.run(kRowDuration);
         for (int i = 1; i <= cluster.options.members; ++i) {
             if (!counts(i)) {
                 continue;
             }
-            cpu += (cluster.cpu_of(i) - before[static_cast<std::size_t>(i)]) / kRow * 1e3;
+            cpu += (cluster.cpu_of(i) - before[static_cast<std::size_t>(i)]) / kRowDuration * 1e3;
             memory += static_cast<double>(cluster.memory_of(i));
             ++count;
         }
@@ -93,7 +93,8 @@
         std::fflush(stdout);
     };
     {
-        SidecarClusterOptions without = Fleet::fleet_of(options, Fleet::usual(), {});
+        SidecarClusterOptions without =
+            Fleet::sidecar_options(options, Fleet::default_sidecar_options(), {});
         without.keep_folder = false;
         net::EventLoop loop;
         SidecarCluster cluster(loop, without);
@@ -105,8 +106,8 @@
     fleet.planners.begin();
     fleet.sidecars.begin();
     fleet.sidecars.run(6);
-    const int roll_call_holder = fleet.holder("roll-call");
-    const int warming_holder = fleet.holder("warming");
+    const int roll_call_holder = fleet.find_lease_holder("roll-call");
+    const int warming_holder = fleet.find_lease_holder("warming");
     row(fleet.sidecars, "holds a lease",
         [&](int i) { return i == roll_call_holder || i == warming_holder; });
     row(fleet.sidecars, "waits for both",
--- a/tools/fault_tests/lease_scenario_list.hpp
+++ b/tools/fault_tests/lease_scenario_list.hpp
@@ -18,13 +18,13 @@
 void leader_lost(PlannerClusterRun& run);
 void rolling_restart(PlannerClusterRun& run);
 void no_majority(PlannerClusterRun& run);
-void replaced(PlannerClusterRun& run);
+void planner_replaced(PlannerClusterRun& run);
 void another_cluster(PlannerClusterRun& run);
 
 // lease_scenarios_disk.cpp
-void bad_disks(PlannerClusterRun& run);
+void failing_disks(PlannerClusterRun& run);
 void damaged_disks(PlannerClusterRun& run);
-void clock_back(PlannerClusterRun& run);
+void clock_set_back(PlannerClusterRun& run);
 
 // lease_scenarios_fleet.cpp
 void roll_call(Fleet& fleet);
--- a/tools/fault_tests/lease_scenarios.hpp
+++ b/tools/fault_tests/lease_scenarios.hpp
@@ -25,6 +25,6 @@
 void measure_lease_cost(const PlannerClusterOptions& options);
 // Grants a second and fsyncs a grant, with 3 and 5 planners, beside one SQLite file without
 // replicas; and what ways to store a log cost. `span`: s for each row.
-void measure_grants(const PlannerClusterOptions& options, Seconds span);
+void measure_grants(const PlannerClusterOptions& options, Seconds duration);
 
 }  // namespace tideline::fault_tests
--- a/tools/fault_tests/main.cpp
+++ b/tools/fault_tests/main.cpp
@@ -30,7 +30,7 @@
     int scenarios_run = 0;
 };
 
-std::string file_text(const std::string& path) {
+std::string read_file(const std::string& path) {
     std::ifstream file(path);
     return {std::istreambuf_iterator<char>(file), {}};
 }
@@ -94,7 +94,7 @@
     PlannerClusterOptions options = command_line.planners;
     if (!command_line.schedule.empty()) {
         const auto events =
-            read_schedule(file_text(command_line.schedule), options.planners + options.holders);
+            read_schedule(read_file(command_line.schedule), options.planners + options.holders);
         summary.passed &= run_lease_schedule(options, command_line.schedule, events);
         ++summary.scenarios_run;
     }
@@ -121,7 +121,7 @@
 void run_sidecars(const CommandLine& command_line, Summary& summary) {
     SidecarClusterOptions options = command_line.sidecars;
     if (!command_line.schedule.empty()) {
-        const auto events = read_schedule(file_text(command_line.schedule), options.members);
+        const auto events = read_schedule(read_file(command_line.schedule), options.members);
         summary.passed &= run_sidecar_schedule(options, command_line.schedule, events);
         ++summary.scenarios_run;
     }
--- a/tools/fault_tests/network_relay.cpp
+++ b/tools/fault_tests/network_relay.cpp
@@ -8,11 +8,14 @@
 
 namespace tideline::fault_tests {
 
-class NetworkRelay::End : public net::TcpConnection {
+class NetworkRelay::ConnectionEnd : public net::TcpConnection {
   public:
-    End(NetworkRelay& relay, Splice& splice, bool is_dialled)
-        : TcpConnection(relay.loop_), relay_(relay), splice_(splice), is_dialled_(is_dialled) {}
-    std::string take() {
+    ConnectionEnd(NetworkRelay& relay, RelayedConnection& connection, bool is_outbound)
+        : TcpConnection(relay.loop_),
+          relay_(relay),
+          splice_(connection),
+          is_outbound_(is_outbound) {}
+    std::string take_received() {
         const std::string bytes(in_.all());
         in_.drop(bytes.size());
         return bytes;
@@ -20,121 +23,121 @@
 
   protected:
     void on_received() override {
-        relay_.forward_bytes(splice_, !is_dialled_);
+        relay_.forward_bytes(splice_, !is_outbound_);
     }
     void on_closed() override {
-        relay_.drop(&splice_);
+        relay_.drop_connection(&splice_);
     }
 
   private:
     NetworkRelay& relay_;
-    Splice& splice_;
-    const bool is_dialled_;  // by the relay, to the member behind
+    RelayedConnection& splice_;
+    const bool is_outbound_;  // by the relay, to the member behind
 };
 
-struct NetworkRelay::Splice {
-    struct Held {
+struct NetworkRelay::RelayedConnection {
+    struct DelayedBytes {
         Seconds due;
         std::string bytes;
     };
     int from = 0;
     int to = 0;
-    std::unique_ptr<End> dialling;
-    std::unique_ptr<End> dialled;
-    std::deque<Held> forward;
-    std::deque<Held> back;
+    std::unique_ptr<ConnectionEnd> inbound;
+    std::unique_ptr<ConnectionEnd> outbound;
+    std::deque<DelayedBytes> forward;
+    std::deque<DelayedBytes> back;
     net::Timers::Id next_forward = net::Timers::kNone;
     net::Timers::Id next_back = net::Timers::kNone;
 };
 
 NetworkRelay::NetworkRelay(net::EventLoop& loop, int members, int first) : loop_(loop) {
     for (int to = first; to < first + members; ++to) {
-        listeners_.push_back(
-            std::make_unique<net::Listener>(loop, [this, to](int fd) { on_accepted(to, fd); }));
-        if (!listeners_.back()->listen(fakes::at_port(to, kFleetPort, kDialledNet))) {
+        listeners_.push_back(std::make_unique<net::Listener>(
+            loop, [this, to](int fd) { accept_connection(to, fd); }));
+        if (!listeners_.back()->listen(fakes::at_port(to, kClusterPort, kDialedNetwork))) {
             throw std::runtime_error("the relay can't listen");
         }
     }
 }
 NetworkRelay::~NetworkRelay() {
-    for (auto& [key, splice] : splices_) {
-        loop_.timers.cancel(splice->next_forward);
-        loop_.timers.cancel(splice->next_back);
+    for (auto& [key, connection] : connections_) {
+        loop_.timers.cancel(connection->next_forward);
+        loop_.timers.cancel(connection->next_back);
     }
 }
 
-void NetworkRelay::on_accepted(int to, int fd) {
-    auto made = std::make_unique<Splice>();
-    Splice& splice = *made;
-    splices_.emplace(&splice, std::move(made));
-    splice.to = to;
-    splice.dialling = std::make_unique<End>(*this, splice, false);
-    splice.dialling->adopt(fd);
-    const std::uint32_t host = splice.dialling->peer_host();
-    if ((ntohl(host) >> 16U) == fakes::loopback_prefix(kDialledNet)) {
-        splice.from = static_cast<int>(ntohl(host) & 0xffff);
+void NetworkRelay::accept_connection(int to, int fd) {
+    auto new_connection = std::make_unique<RelayedConnection>();
+    RelayedConnection& connection = *new_connection;
+    connections_.emplace(&connection, std::move(new_connection));
+    connection.to = to;
+    connection.inbound = std::make_unique<ConnectionEnd>(*this, connection, false);
+    connection.inbound->adopt(fd);
+    const std::uint32_t host = connection.inbound->peer_host();
+    if ((ntohl(host) >> 16U) == fakes::loopback_prefix(kDialedNetwork)) {
+        connection.from = static_cast<int>(ntohl(host) & 0xffff);
     }
-    splice.dialled = std::make_unique<End>(*this, splice, true);
-    splice.dialled->open(fakes::at_port(to, kFleetPort, kListenNet), host);
+    connection.outbound = std::make_unique<ConnectionEnd>(*this, connection, true);
+    connection.outbound->open(fakes::at_port(to, kClusterPort, kListenNetwork), host);
 }
 
-void NetworkRelay::forward_bytes(Splice& splice, bool forward) {
-    End& from = forward ? *splice.dialling : *splice.dialled;
-    const Direction direction =
-        forward ? Direction{splice.from, splice.to} : Direction{splice.to, splice.from};
-    auto& waiting = forward ? splice.forward : splice.back;
-    if (std::string bytes = from.take(); !bytes.empty()) {
-        const auto by = delay_.find(direction);
+void NetworkRelay::forward_bytes(RelayedConnection& connection, bool forward) {
+    ConnectionEnd& from = forward ? *connection.inbound : *connection.outbound;
+    const Direction direction = forward ? Direction{connection.from, connection.to}
+                                        : Direction{connection.to, connection.from};
+    auto& waiting = forward ? connection.forward : connection.back;
+    if (std::string bytes = from.take_received(); !bytes.empty()) {
+        const auto delay = delays_.find(direction);
         waiting.push_back(
-            {net::clock_now() + (by == delay_.end() ? 0 : by->second), std::move(bytes)});
+            {net::clock_now() + (delay == delays_.end() ? 0 : delay->second), std::move(bytes)});
     }
     if (is_cut(direction)) {
         return;
     }
-    End& to = forward ? *splice.dialled : *splice.dialling;
+    ConnectionEnd& to = forward ? *connection.outbound : *connection.inbound;
     while (!waiting.empty() && waiting.front().due <= net::clock_now()) {
         to.put(waiting.front().bytes);
         waiting.pop_front();
     }
-    net::Timers::Id& next = forward ? splice.next_forward : splice.next_back;
+    net::Timers::Id& next = forward ? connection.next_forward : connection.next_back;
     if (waiting.empty() || next != net::Timers::kNone) {
         return;
     }
-    next = loop_.timers.at(waiting.front().due, [this, &splice, &next, forward] {
+    next = loop_.timers.at(waiting.front().due, [this, &connection, &next, forward] {
         next = net::Timers::kNone;
-        forward_bytes(splice, forward);
+        forward_bytes(connection, forward);
     });
 }
-void NetworkRelay::flush() {
-    for (auto& [key, splice] : splices_) {
-        forward_bytes(*splice, true);
-        forward_bytes(*splice, false);
+void NetworkRelay::forward_all() {
+    for (auto& [key, connection] : connections_) {
+        forward_bytes(*connection, true);
+        forward_bytes(*connection, false);
     }
 }
 void NetworkRelay::heal() {
-    cut_.clear();
-    delay_.clear();
-    flush();
+    cut_links_.clear();
+    delays_.clear();
+    forward_all();
 }
 void NetworkRelay::heal(Direction direction) {
-    cut_.erase(direction);
-    delay_.erase(direction);
-    flush();
+    cut_links_.erase(direction);
+    delays_.erase(direction);
+    forward_all();
 }
 
-void NetworkRelay::drop(Splice* splice) {
-    const auto it = splices_.find(splice);
-    if (it == splices_.end()) {
+void NetworkRelay::drop_connection(RelayedConnection* connection) {
+    const auto it = connections_.find(connection);
+    if (it == connections_.end()) {
         return;
     }
-    loop_.timers.cancel(splice->next_forward);
-    loop_.timers.cancel(splice->next_back);
-    for (auto* end : {&splice->dialling, &splice->dialled}) {
+    loop_.timers.cancel(connection->next_forward);
+    loop_.timers.cancel(connection->next_back);
+    for (auto* end : {&connection->inbound, &connection->outbound}) {
         if (*end) {
             (*end)->close(), loop_.destroy_after_pass(std::move(*end));
         }
     }
-    splices_.erase(it);
+    connections_.erase(it);
 }
 
 }  // namespace tideline::fault_tests
--- a/tools/fault_tests/network_relay.hpp
+++ b/tools/fault_tests/network_relay.hpp
@@ -14,10 +14,10 @@
 
 namespace tideline::fault_tests {
 
-constexpr int kFleetPort = 7800;
+constexpr int kClusterPort = 7800;
 // Networks of this run: host i of the one is dialled, of the other listens.
-constexpr int kDialledNet = 2;
-constexpr int kListenNet = 1;
+constexpr int kDialedNetwork = 2;
+constexpr int kListenNetwork = 1;
 
 // Used on the thread of the event loop, which must outlive it.
 class NetworkRelay {
@@ -27,30 +27,30 @@
     ~NetworkRelay();
     using Direction = std::pair<int, int>;  // from, to; members count from 1
     void cut(Direction direction) {
-        cut_.insert(direction);
+        cut_links_.insert(direction);
     }
     // Bytes that arrive from now on are forwarded `by` seconds later.
-    void delay(Direction direction, Seconds by) {
-        delay_[direction] = by;
+    void delay(Direction direction, Seconds duration) {
+        delays_[direction] = duration;
     }
     void heal();  // all directions; queued bytes are delivered, delays end
     void heal(Direction direction);
     bool is_cut(Direction direction) const {
-        return cut_.contains(direction);
+        return cut_links_.contains(direction);
     }
 
   private:
-    class End;
-    struct Splice;
-    void on_accepted(int to, int fd);
-    void forward_bytes(Splice& splice, bool forward);
-    void drop(Splice* splice);
-    void flush();
+    class ConnectionEnd;
+    struct RelayedConnection;
+    void accept_connection(int to, int fd);
+    void forward_bytes(RelayedConnection& connection, bool forward);
+    void drop_connection(RelayedConnection* connection);
+    void forward_all();
     net::EventLoop& loop_;
     std::vector<std::unique_ptr<net::Listener>> listeners_;
-    std::map<Splice*, std::unique_ptr<Splice>> splices_;
-    std::set<Direction> cut_;
-    std::map<Direction, Seconds> delay_;
+    std::map<RelayedConnection*, std::unique_ptr<RelayedConnection>> connections_;
+    std::set<Direction> cut_links_;
+    std::map<Direction, Seconds> delays_;
 };
 
 }  // namespace tideline::fault_tests
--- a/tools/fault_tests/planner_cluster.cpp
+++ b/tools/fault_tests/planner_cluster.cpp
@@ -19,8 +19,8 @@
 
 constexpr int kTargetPort = 7700;
 constexpr int kTargetHost = 9 * 256;
-constexpr Seconds kTogether = 20;      // s: until a new cluster is there
-constexpr const char* kTask = "task";  // the lease that the holders want
+constexpr Seconds kFormationTimeout = 20;   // s: until a new cluster is there
+constexpr const char* kTaskLease = "task";  // the lease that the holders want
 
 }  // namespace
 
@@ -98,19 +98,21 @@
 std::string PlannerCluster::planner_config_of(int planner) const {
     std::string all;
     for (int i = 1; i <= options.planners; ++i) {
-        all += fmt::format("{}{{ name = \"p{}\"; address = \"{}\"; }}", all.empty() ? "" : ", ", i,
-                           text_of(at_port(host_of(i), kFleetPort,
-                                           options.bypass_relay ? kListenNet : kDialledNet)));
+        all +=
+            fmt::format("{}{{ name = \"p{}\"; address = \"{}\"; }}", all.empty() ? "" : ", ", i,
+                        text_of(at_port(host_of(i), kClusterPort,
+                                        options.bypass_relay ? kListenNetwork : kDialedNetwork)));
     }
     return fmt::format(
         "planner = {{ name = \"p{}\"; listen = \"{}\"; address = \"{}\"; folder = \"{}\";\n"
         "  planners = ( {} );\n"
         "  leases = {{ span = {}; drift = {}; claim = {}; absent = 3.0; }};\n"
         "  log = {{ heartbeat = {}; election_least = {}; election_most = {}; keep = 50; }};\n}};\n",
-        planner, text_of(at_port(host_of(planner), kFleetPort, kListenNet)),
-        text_of(
-            at_port(host_of(planner), kFleetPort, options.bypass_relay ? kListenNet : kDialledNet)),
-        folder_of(planner), all, kSpan, kDrift, kClaim, kHeartbeat, kElectionLeast, kElectionMost);
+        planner, text_of(at_port(host_of(planner), kClusterPort, kListenNetwork)),
+        text_of(at_port(host_of(planner), kClusterPort,
+                        options.bypass_relay ? kListenNetwork : kDialedNetwork)),
+        folder_of(planner), all, kLeaseDuration, kMaxClockDrift, kClaimTimeout, kHeartbeatInterval,
+        kMinElectionTimeout, kMaxElectionTimeout);
 }
 void PlannerCluster::start(int node, bool founds_cluster) {
     Process& process = *processes[static_cast<std::size_t>(node)];
@@ -120,18 +122,19 @@
     const std::string path = fmt::format("{}/{}", folder, name_of(node));
     stopped_[static_cast<std::size_t>(node)] = false;
     if (!is_planner(node)) {
-        std::vector<std::string> command{options.holder,
-                                         "--name",
-                                         name_of(node),
-                                         "--address",
-                                         text_of(at_port(host_of(node), kFleetPort, kDialledNet)),
-                                         "--target",
-                                         text_of(at_port(kTargetHost, kTargetPort)),
-                                         "--mark",
-                                         path + ".mark",
-                                         "--planners"};
+        std::vector<std::string> command{
+            options.holder,
+            "--name",
+            name_of(node),
+            "--address",
+            text_of(at_port(host_of(node), kClusterPort, kDialedNetwork)),
+            "--target",
+            text_of(at_port(kTargetHost, kTargetPort)),
+            "--mark",
+            path + ".mark",
+            "--planners"};
         for (int i = 1; i <= options.planners; ++i) {
-            command.push_back(text_of(at_port(host_of(i), kFleetPort, kDialledNet)));
+            command.push_back(text_of(at_port(host_of(i), kClusterPort, kDialedNetwork)));
         }
         return process.start(command, path + ".log");
     }
@@ -154,14 +157,14 @@
     for (int i = options.planners + 1; i <= options.planners + options.holders; ++i) {
         start(i);
     }
-    if (!run_until(kTogether,
-                   [&] { return healthy() && (options.holders == 0 || !actions.empty()); })) {
+    if (!run_until(kFormationTimeout,
+                   [&] { return is_healthy() && (options.holders == 0 || !actions.empty()); })) {
         throw std::runtime_error("the planners did not come together");
     }
     // Scenarios rely on a waiting successor: a lease that is revoked while nobody waits is granted
     // to its former holder again. A holder that asked before the planners had a leader asks again
     // only after a backoff of up to 4 s.
-    if (!run_until(kTogether, [&] { return options.holders == 0 || all_holders_wait(); })) {
+    if (!run_until(kFormationTimeout, [&] { return options.holders == 0 || all_holders_wait(); })) {
         throw std::runtime_error("the holders do not wait for the lease");
     }
 }
@@ -179,8 +182,10 @@
     actions.push_back(action);
 }
 
-std::optional<wire::LeaseAnswer> PlannerCluster::ask(int planner, const wire::LeaseAsk& question) {
-    planner::PlannerQuery query(loop, at_port(host_of(planner), kFleetPort, kListenNet), question);
+std::optional<wire::LeaseAnswer> PlannerCluster::send_request(int planner,
+                                                              const wire::LeaseAsk& request) {
+    planner::PlannerQuery query(loop, at_port(host_of(planner), kClusterPort, kListenNetwork),
+                                request);
     run_until(1, [&] { return query.finished; });
     query.close();
     if (!query.answered) {
@@ -193,9 +198,9 @@
         stopped_[static_cast<std::size_t>(planner)]) {
         return std::nullopt;
     }
-    wire::LeaseAsk question;
-    question.set_what(wire::LeaseAsk::TABLE);
-    const auto answer = ask(planner, question);
+    wire::LeaseAsk request;
+    request.set_what(wire::LeaseAsk::TABLE);
+    const auto answer = send_request(planner, request);
     if (!answer || answer->table().stale()) {
         return std::nullopt;
     }
@@ -209,7 +214,7 @@
     }
     return 0;
 }
-bool PlannerCluster::healthy() {
+bool PlannerCluster::is_healthy() {
     for (int i = 1; i <= options.planners; ++i) {
         const auto answer = table(i);
         if (!answer) {
@@ -228,8 +233,8 @@
         return false;
     }
     const auto& leases = answer->leases();
-    const auto task =
-        std::find_if(leases.begin(), leases.end(), [](auto& each) { return each.name() == kTask; });
+    const auto task = std::find_if(leases.begin(), leases.end(),
+                                   [](auto& each) { return each.name() == kTaskLease; });
     return task != leases.end() && task->waiting_size() == options.holders - 1;
 }
 
@@ -308,34 +313,34 @@
     }
     return true;
 }
-void PlannerCluster::ask_as_operator(const Event& event) {
+void PlannerCluster::apply_as_operator(const Event& event) {
     const bool admit = event.action == "admit";
     if (!admit && event.action != "take-away") {
         return;
     }
-    wire::LeaseAsk question;
-    question.set_what(admit ? wire::LeaseAsk::ADMIT : wire::LeaseAsk::TAKE_AWAY);
-    (admit ? *question.mutable_key() : *question.mutable_lease()) =
-        admit ? name_of(event.argument(0)) : kTask;
+    wire::LeaseAsk request;
+    request.set_what(admit ? wire::LeaseAsk::ADMIT : wire::LeaseAsk::TAKE_AWAY);
+    (admit ? *request.mutable_key() : *request.mutable_lease()) =
+        admit ? name_of(event.argument(0)) : kTaskLease;
     if (const int planner = leader(); planner > 0) {
-        ask(planner, question);
+        send_request(planner, request);
     }
 }
 void PlannerCluster::apply(const Event& event) {
     if (!apply_to_process(event) && !apply_to_links(event)) {
-        ask_as_operator(event);
+        apply_as_operator(event);
     }
 }
-void PlannerCluster::run(Seconds span) {
-    run_until(span, [] { return false; });
+void PlannerCluster::run(Seconds duration) {
+    run_until(duration, [] { return false; });
 }
-bool PlannerCluster::run_until(Seconds most, const std::function<bool()>& holds) {
-    return fakes::run_until(loop, most, holds);
+bool PlannerCluster::run_until(Seconds timeout, const std::function<bool()>& predicate) {
+    return fakes::run_until(loop, timeout, predicate);
 }
 std::vector<std::string> PlannerCluster::addresses() const {
     std::vector<std::string> all;
     for (int i = 1; i <= options.planners; ++i) {
-        all.push_back(text_of(at_port(host_of(i), kFleetPort, kDialledNet)));
+        all.push_back(text_of(at_port(host_of(i), kClusterPort, kDialedNetwork)));
     }
     return all;
 }
--- a/tools/fault_tests/planner_cluster.hpp
+++ b/tools/fault_tests/planner_cluster.hpp
@@ -29,12 +29,12 @@
 };
 
 // Times of leases and of Raft, in seconds; short, so that a test is.
-constexpr Seconds kSpan = 1;
-constexpr Seconds kClaim = 0.3;
-constexpr Seconds kHeartbeat = 0.05;
-constexpr Seconds kElectionLeast = 0.25;
-constexpr Seconds kElectionMost = 0.5;
-constexpr double kDrift = 0.01;
+constexpr Seconds kLeaseDuration = 1;
+constexpr Seconds kClaimTimeout = 0.3;
+constexpr Seconds kHeartbeatInterval = 0.05;
+constexpr Seconds kMinElectionTimeout = 0.25;
+constexpr Seconds kMaxElectionTimeout = 0.5;
+constexpr double kMaxClockDrift = 0.01;
 
 // An action of a lease holder, as the target received it.
 struct TaskAction {
@@ -57,14 +57,14 @@
     void end_processes();
     void begin();  // founds the cluster, starts all; throws where that does not come about
     void apply(const Event& event);
-    void run(Seconds span);
-    bool run_until(Seconds most, const std::function<bool()>& holds);
+    void run(Seconds duration);
+    bool run_until(Seconds timeout, const std::function<bool()>& predicate);
     void start(int node, bool founds_cluster = false);
     // One question to one planner, past the relay; nothing where no answer came within a second.
-    std::optional<wire::LeaseAnswer> ask(int planner, const wire::LeaseAsk& question);
+    std::optional<wire::LeaseAnswer> send_request(int planner, const wire::LeaseAsk& request);
     std::optional<wire::PlannerTable> table(int planner);
-    int leader();    // 0: none that answers
-    bool healthy();  // all planners vote, and one leads
+    int leader();       // 0: none that answers
+    bool is_healthy();  // all planners vote, and one leads
     // One holder has the lease of the task and all others wait for it, so that whoever loses it has
     // a successor.
     bool all_holders_wait();
@@ -96,7 +96,7 @@
     // Each applies the actions of its subject; false where the action is of another.
     bool apply_to_process(const Event& event);
     bool apply_to_links(const Event& event);
-    void ask_as_operator(const Event& event);
+    void apply_as_operator(const Event& event);
     void set_disk_fault(int node, int fault);  // as in a schedule's disk; 0: none
     fakes::Server<TargetConnection, PlannerCluster> target_;
     std::uint64_t highest_token_ = 0;  // that the target has seen
--- a/tools/fault_tests/planner_cluster_run.hpp
+++ b/tools/fault_tests/planner_cluster_run.hpp
@@ -12,10 +12,12 @@
 
 namespace tideline::fault_tests {
 
-constexpr Seconds kHealed = 15;  // s: after all is healed the lease has a holder again within this
+constexpr Seconds kRecoveryTimeout =
+    15;  // s: after all is healed the lease has a holder again within this
 // The grantor waits for span * (1 + drift) / (1 - drift) from when it heard the last renewal.
-constexpr Seconds kWait = kSpan * (1 + kDrift) / (1 - kDrift);
-constexpr int kStatusBroken = 3;  // exit status of a planner whose disk failed
+constexpr Seconds kGrantorWaitDuration =
+    kLeaseDuration * (1 + kMaxClockDrift) / (1 - kMaxClockDrift);
+constexpr int kExitDiskFailed = 3;  // exit status of a planner whose disk failed
 
 // The scenario's faults use it; its violations and figures are printed afterwards.
 struct PlannerClusterRun {
@@ -33,21 +35,22 @@
     void apply(const std::string& action, std::vector<double> arguments = {}) {
         cluster.apply({0, action, std::move(arguments)});
     }
-    const TaskAction* newest() const {
+    const TaskAction* newest_action() const {
         return cluster.actions.empty() ? nullptr : &cluster.actions.back();
     }
     // The node that acts next, within 2 s; 0: none.
-    int holder() {
+    int wait_for_holder() {
         const std::size_t from = cluster.actions.size();
         cluster.run_until(2, [&] { return cluster.actions.size() > from; });
-        return cluster.actions.size() > from ? cluster.node_of(newest()->holder) : 0;
+        return cluster.actions.size() > from ? cluster.node_of(newest_action()->holder) : 0;
     }
     // Seconds from `from` until a holder other than `previous` acts; -1 and a violation where none
     // does.
-    Seconds wait_for_another_holder(const std::string& previous, Seconds from, Seconds most = 15) {
+    Seconds wait_for_another_holder(const std::string& previous, Seconds from,
+                                    Seconds timeout = 15) {
         std::size_t checked = cluster.actions.size();
         Seconds acted_at = -1;
-        cluster.run_until(most, [&] {
+        cluster.run_until(timeout, [&] {
             for (; checked < cluster.actions.size() && acted_at < 0; ++checked) {
                 if (cluster.actions[checked].holder != previous) {
                     acted_at = cluster.actions[checked].arrived_at;
@@ -58,32 +61,32 @@
         expect(acted_at >= 0, "nobody acts after " + previous);
         return acted_at < 0 ? -1 : acted_at - from;
     }
-    bool acts_within(Seconds most) {
+    bool wait_for_action(Seconds timeout) {
         const std::size_t from = cluster.actions.size();
-        return cluster.run_until(most, [&] { return cluster.actions.size() > from; });
+        return cluster.run_until(timeout, [&] { return cluster.actions.size() > from; });
     }
     // Whether a node's log contains `text` within `most` seconds.
-    bool logged(int node, const std::string& text, Seconds most = 8) {
+    bool wait_for_log_text(int node, const std::string& text, Seconds timeout = 8) {
         return cluster.run_until(
-            most, [&] { return cluster.log_of(node).find(text) != std::string::npos; });
+            timeout, [&] { return cluster.log_of(node).find(text) != std::string::npos; });
     }
     // The exit status of a node that ends within `most` seconds.
-    std::optional<int> ends(int node, Seconds most = 8) {
+    std::optional<int> wait_for_exit(int node, Seconds timeout = 8) {
         cluster.run_until(
-            most, [&] { return !cluster.processes[static_cast<std::size_t>(node)]->runs(); });
+            timeout, [&] { return !cluster.processes[static_cast<std::size_t>(node)]->runs(); });
         return cluster.processes[static_cast<std::size_t>(node)]->ended();
     }
-    void figure(const std::string& name, double value) {
+    void add_figure(const std::string& name, double value) {
         figures.emplace_back(name, value);
     }
     // s: the longest time between two actions, from the action with index `from` on.
     Seconds longest_gap(std::size_t from) const {
-        Seconds most = 0;
+        Seconds longest = 0;
         for (std::size_t i = std::max<std::size_t>(1, from); i < cluster.actions.size(); ++i) {
-            most =
-                std::max(most, cluster.actions[i].arrived_at - cluster.actions[i - 1].arrived_at);
+            longest = std::max(longest,
+                               cluster.actions[i].arrived_at - cluster.actions[i - 1].arrived_at);
         }
-        return most;
+        return longest;
     }
 };
 
--- a/tools/fault_tests/random_schedule.cpp
+++ b/tools/fault_tests/random_schedule.cpp
@@ -12,27 +12,29 @@
 namespace {
 
 // Events of one fault at `at`, taken back `span` seconds later.
-void push_with_undo(std::vector<Event>& events, Seconds at, Seconds span, const char* fault,
+void push_with_undo(std::vector<Event>& events, Seconds at, Seconds duration, const char* fault,
                     const char* undo, double node) {
     events.push_back({at, fault, {node}});
-    events.push_back({at + span, undo, {node}});
+    events.push_back({at + duration, undo, {node}});
 }
-void push_cut(std::vector<Event>& events, Seconds at, Seconds span, double from, double to,
+void push_cut(std::vector<Event>& events, Seconds at, Seconds duration, double from, double to,
               bool both_directions) {
     events.push_back({at, "cut", {from, to}});
     if (both_directions) {
         events.push_back({at, "cut", {to, from}});
     }
-    events.push_back({at + span, "heal", {from, to}});
-    events.push_back({at + span, "heal", {to, from}});
+    events.push_back({at + duration, "heal", {from, to}});
+    events.push_back({at + duration, "heal", {to, from}});
 }
-void push_split(std::vector<Event>& events, Seconds at, Seconds span, double last_of_first_part) {
+void push_split(std::vector<Event>& events, Seconds at, Seconds duration,
+                double last_of_first_part) {
     events.push_back({at, "split", {last_of_first_part}});
-    events.push_back({at + span, "heal", {}});
+    events.push_back({at + duration, "heal", {}});
 }
-void push_slow(std::vector<Event>& events, Seconds at, Seconds span, double node, Seconds delay) {
+void push_slow(std::vector<Event>& events, Seconds at, Seconds duration, double node,
+               Seconds delay) {
     events.push_back({at, "slow", {node, delay}});
-    events.push_back({at + span, "slow", {node, 0}});
+    events.push_back({at + duration, "slow", {node, 0}});
 }
 // A planner loses its disk and is admitted again; an operator asks until it is.
 void push_lost_disk(std::vector<Event>& events, Seconds at, double planner) {
@@ -49,10 +51,10 @@
 // Random faults, each taken back a while later; endpoints and the release go on changing
 // meanwhile.
 std::vector<Event> random_sidecar_schedule(std::uint32_t seed, int members, Seconds length) {
-    std::ranlux24_base chance(seed);
+    std::ranlux24_base random(seed);
     const auto draw = [&](double from, double to) {
         return from +
-               (to - from) * static_cast<double>(chance()) / static_cast<double>(chance.max());
+               (to - from) * static_cast<double>(random()) / static_cast<double>(random.max());
     };
     const auto member = [&] { return std::floor(draw(1, members + 0.999)); };
     std::vector<Event> events{{1.0, "offer", {42}}};
@@ -67,38 +69,38 @@
     for (Seconds at = 2; at < length; at += draw(0.3, 1.6)) {
         const double one = member();
         const double other = member();
-        const double span = draw(0.3, 5);
+        const double duration = draw(0.3, 5);
         switch (static_cast<int>(draw(0, 8.999))) {
             case 0:
                 events.push_back({at, "kill", {one}});
                 if (draw(0, 1) < 0.4) {
-                    events.push_back({at + span / 2, "wipe", {one}});
+                    events.push_back({at + duration / 2, "wipe", {one}});
                 }
-                events.push_back({at + span, "start", {one}});
+                events.push_back({at + duration, "start", {one}});
                 break;
             case 1:
-                push_with_undo(events, at, span, "stop", "go", one);
+                push_with_undo(events, at, duration, "stop", "go", one);
                 break;
             case 2:
             case 3:
                 if (one == other) {
                     break;
                 }
-                push_cut(events, at, span, one, other, draw(0, 1) < 0.5);
+                push_cut(events, at, duration, one, other, draw(0, 1) < 0.5);
                 break;
             case 4:
-                push_split(events, at, span, std::floor(draw(1, members - 0.001)));
+                push_split(events, at, duration, std::floor(draw(1, members - 0.001)));
                 break;
             case 5:
-                push_slow(events, at, span, one, draw(0.1, 3));
+                push_slow(events, at, duration, one, draw(0.1, 3));
                 break;
             case 6:
             case 7:
-                push_with_undo(events, at, span, "mute", "speak", one);
+                push_with_undo(events, at, duration, "mute", "speak", one);
                 break;
             default:
                 events.push_back({at, "term", {one}});
-                events.push_back({at + span + 1.5, "start", {one}});
+                events.push_back({at + duration + 1.5, "start", {one}});
         }
     }
     sort_by_time(events);
@@ -109,10 +111,10 @@
 // planners must keep what was promised until the one without a disk is admitted again.
 std::vector<Event> random_planner_schedule(std::uint32_t seed, int planners, int holders,
                                            Seconds length) {
-    std::ranlux24_base chance(seed);
+    std::ranlux24_base random(seed);
     const auto draw = [&](double from, double to) {
-        return from + (to - from) * static_cast<double>(chance()) /
-                          (1.0 + static_cast<double>(chance.max()));
+        return from + (to - from) * static_cast<double>(random()) /
+                          (1.0 + static_cast<double>(random.max()));
     };
     const auto among = [&](int from, int count) {
         return static_cast<double>(from + static_cast<int>(draw(0, count)));
@@ -124,30 +126,30 @@
         const double holder = among(planners + 1, holders);
         const double one = among(1, nodes);
         const double other = among(1, nodes);
-        const double span = draw(0.1, 3);
+        const double duration = draw(0.1, 3);
         switch (static_cast<int>(draw(0, 10))) {
             case 0:
             case 1:
-                push_with_undo(events, at, span, "kill", "start", planner);
+                push_with_undo(events, at, duration, "kill", "start", planner);
                 break;
             case 2:
-                push_with_undo(events, at, span, "kill", "start", holder);
+                push_with_undo(events, at, duration, "kill", "start", holder);
                 break;
             case 3:
-                push_with_undo(events, at, span, "stop", "go", one);
+                push_with_undo(events, at, duration, "stop", "go", one);
                 break;
             case 4:
-                push_with_undo(events, at, span, "mark", "go", holder);
+                push_with_undo(events, at, duration, "mark", "go", holder);
                 break;
             case 5:
             case 6:
-                push_cut(events, at, span, one, other, draw(0, 1) < 0.5);
+                push_cut(events, at, duration, one, other, draw(0, 1) < 0.5);
                 break;
             case 7:
-                push_split(events, at, span, among(1, nodes - 1));
+                push_split(events, at, duration, among(1, nodes - 1));
                 break;
             case 8:
-                push_slow(events, at, span, one, draw(0.1, 3));
+                push_slow(events, at, duration, one, draw(0.1, 3));
                 break;
             default:
                 events.push_back({at, "release-task", {holder}});
--- a/tools/fault_tests/replication_cost.cpp
+++ b/tools/fault_tests/replication_cost.cpp
@@ -15,21 +15,23 @@
 using namespace fakes;
 
 constexpr int kSaturatingClients = 96;  // each sends its next request on an answer
-constexpr double kRate =
+constexpr double kChargesPerSecond =
     150;  // charges a second, all sidecars together, where one is measured by itself
 
-struct Spread {
-    std::vector<double> all;
-    double at(double quantile) {
-        if (all.empty()) {
+struct Latencies {
+    std::vector<double> seconds;
+    double value_at(double quantile) {
+        if (seconds.empty()) {
             return 0;
         }
-        std::sort(all.begin(), all.end());
-        return all[static_cast<std::size_t>(quantile * static_cast<double>(all.size() - 1))];
+        std::sort(seconds.begin(), seconds.end());
+        return seconds[static_cast<std::size_t>(quantile *
+                                                static_cast<double>(seconds.size() - 1))];
     }
-    std::string text() {
-        return fmt::format("{:.1f} | {:.1f} | {:.1f} | {:.1f} | {:.1f}", at(0.1) * 1e3,
-                           at(0.5) * 1e3, at(0.9) * 1e3, at(0.99) * 1e3, at(1) * 1e3);
+    std::string format_row() {
+        return fmt::format("{:.1f} | {:.1f} | {:.1f} | {:.1f} | {:.1f}", value_at(0.1) * 1e3,
+                           value_at(0.5) * 1e3, value_at(0.9) * 1e3, value_at(0.99) * 1e3,
+                           value_at(1) * 1e3);
     }
 };
 double loopback_bytes() {
@@ -48,7 +50,7 @@
     }
     return sum;
 }
-double fsyncs_of(ReplicationFleet& fleet, int member) {
+double stop_and_count_fsyncs(ReplicationFleet& fleet, int member) {
     fleet.apply("term", {static_cast<double>(member)});
     fleet.wait_until(8, [&] {
         return !fleet.sidecars.members[static_cast<std::size_t>(member)].process->runs();
@@ -58,19 +60,20 @@
     file >> count;
     return count;
 }
-Spread first_answers(const ReplicationFleet& fleet, std::size_t from, Seconds after = 0) {
-    Spread spread;
+Latencies first_attempt_latencies(const ReplicationFleet& fleet, std::size_t from,
+                                  Seconds after = 0) {
+    Latencies spread;
     for (std::size_t i = from; i < fleet.clients.requests.size(); ++i) {
-        const Attempt& one = fleet.clients.requests[i].attempts.front();
-        if (one.result == CallResult::succeeded && one.sent_at >= after) {
-            spread.all.push_back(one.latency);
+        const Attempt& first_attempt = fleet.clients.requests[i].attempts.front();
+        if (first_attempt.result == CallResult::succeeded && first_attempt.sent_at >= after) {
+            spread.seconds.push_back(first_attempt.latency);
         }
     }
     return spread;
 }
 // Callers that send one new charge after the other.
-struct Saturation {
-    Saturation(ReplicationFleet& fleet, const std::string& prefix)
+struct SaturationLoad {
+    SaturationLoad(ReplicationFleet& fleet, const std::string& prefix)
         : fleet_(fleet), prefix_(prefix) {
         const auto addresses = ReplicationFleet::addresses(fleet.options.members);
         for (int i = 0; i < kSaturatingClients; ++i) {
@@ -79,20 +82,20 @@
                 [](ClientConnection*) {}));
         }
         for (auto& each : clients_) {
-            next(*each);
+            send_next(*each);
         }
     }
-    ~Saturation() {
+    ~SaturationLoad() {
         for (auto& each : clients_) {
             each->close();
             fleet_.loop.destroy_after_pass(std::move(each));
         }
     }
-    void next(ClientConnection& client) {
+    void send_next(ClientConnection& client) {
         if (stopped) {
             return;
         }
-        const std::string key = fmt::format("{}{}", prefix_, ++retried_at_end);
+        const std::string key = fmt::format("{}{}", prefix_, ++requests_sent);
         const Seconds at = net::clock_now();
         client.send(fmt::format("INSERT INTO records (k, v) VALUES ('7f', '\\x01') RETURNING v /* "
                                 "id={},c=charge,t=desk,d=1500,k={} */",
@@ -100,18 +103,18 @@
                     [this, &client, at](CallResult result, const std::string&) {
                         succeeded += result == CallResult::succeeded;
                         if (result == CallResult::succeeded) {
-                            took.all.push_back(net::clock_now() - at);
+                            took.seconds.push_back(net::clock_now() - at);
                         }
                         fleet_.loop.timers.soon([this, &client] {
                             if (client.idle()) {
-                                next(client);
+                                send_next(client);
                             }
                         });
                     });
     }
-    std::uint64_t retried_at_end = 0;
+    std::uint64_t requests_sent = 0;
     std::uint64_t succeeded = 0;
-    Spread took;
+    Latencies took;
     bool stopped = false;
 
   private:
@@ -119,14 +122,14 @@
     const std::string prefix_;
     std::vector<std::unique_ptr<ClientConnection>> clients_;
 };
-void remove(ReplicationFleet& fleet) {
+void remove_folders(ReplicationFleet& fleet) {
     for (const std::string& folder : {fleet.sidecars.folder, fleet.planners.folder}) {
         std::filesystem::remove_all(folder);
     }
 }
 
 // Starts planners and sidecars with fast endpoints, and waits until all replicas are placed.
-void start(ReplicationFleet& fleet) {
+void start_fleet(ReplicationFleet& fleet) {
     fleet.planners.begin();
     fleet.sidecars.begin();
     for (auto& endpoint : fleet.sidecars.endpoints) {
@@ -142,7 +145,7 @@
 void start_clients(ReplicationFleet& fleet) {
     fleet.clients.retry_share_after_success = 0;
     fleet.clients.max_attempts = 1;
-    fleet.clients.begin(kRate);
+    fleet.clients.begin(kChargesPerSecond);
     fleet.run(3);
 }
 
@@ -153,7 +156,8 @@
     bool group_commit;
 };
 
-void measure_row(const ReplicationOptions& options, const RequestRow& row, Seconds span) {
+void measure_request_row(const ReplicationOptions& options, const RequestRow& row,
+                         Seconds duration) {
     ReplicationOptions row_options = options;
     row_options.without_replication = row.replicas == 0;
     row_options.replicas = std::max(1, row.replicas);
@@ -161,41 +165,41 @@
     SidecarClusterOptions base = cluster_options_of(row_options);
     base.group_commit = row.group_commit;
     ReplicationFleet fleet(row_options, base);
-    start(fleet);
+    start_fleet(fleet);
     start_clients(fleet);
     const std::size_t from = fleet.clients.requests.size();
     const double cpu = cpu_of_all(fleet);
     const double bytes = loopback_bytes();
-    fleet.run(span);
+    fleet.run(duration);
     const auto charges = static_cast<double>(fleet.clients.requests.size() - from);
     const double cpu_each = (cpu_of_all(fleet) - cpu) / charges * 1e3;
     const double bytes_each = (loopback_bytes() - bytes) / charges;
     fleet.clients.stop();
-    Spread took = first_answers(fleet, from);
+    Latencies took = first_attempt_latencies(fleet, from);
     const auto before = static_cast<double>(fleet.clients.requests.size());
-    Saturation saturation(fleet, "s");
+    SaturationLoad saturation(fleet, "s");
     fleet.run(1);
-    const std::uint64_t counted = saturation.succeeded;
-    saturation.took.all.clear();
-    fleet.run(span);
-    const double rate = static_cast<double>(saturation.succeeded - counted) / span;
+    const std::uint64_t succeeded_before = saturation.succeeded;
+    saturation.took.seconds.clear();
+    fleet.run(duration);
+    const double rate = static_cast<double>(saturation.succeeded - succeeded_before) / duration;
     saturation.stopped = true;
     fleet.run(0.5);
     double fsyncs = 0;
     for (int i = 1; i <= row_options.members; ++i) {
-        fsyncs += fsyncs_of(fleet, i);
+        fsyncs += stop_and_count_fsyncs(fleet, i);
     }
     fsyncs /= before + static_cast<double>(saturation.succeeded);
     fmt::print("| {} | {} | {:.2f} | {:.0f} | {:.2f} | {:.0f} | {:.1f} | {:.1f} |\n", row.name,
-               took.text(), cpu_each, bytes_each, fsyncs, rate, saturation.took.at(0.5) * 1e3,
-               saturation.took.at(0.99) * 1e3);
+               took.format_row(), cpu_each, bytes_each, fsyncs, rate,
+               saturation.took.value_at(0.5) * 1e3, saturation.took.value_at(0.99) * 1e3);
     std::fflush(stdout);
-    remove(fleet);
+    remove_folders(fleet);
 }
 
 // Until so many records are stored, for 120 s at most.
 void store_records(ReplicationFleet& fleet, int record_count) {
-    Saturation fill(fleet, "f");
+    SaturationLoad fill(fleet, "f");
     const Seconds until = net::clock_now() + 120;
     while (fill.succeeded < static_cast<std::uint64_t>(record_count) && net::clock_now() < until) {
         fleet.run(0.05);
@@ -204,7 +208,7 @@
     fleet.run(0.5);
 }
 
-std::size_t records_of(ReplicationFleet& fleet, int member) {
+std::size_t record_count_of(ReplicationFleet& fleet, int member) {
     const auto answer = fleet.query();
     if (!answer) {
         return 0;
@@ -227,18 +231,18 @@
     return rejected;
 }
 
-void measure_repair_of(const ReplicationOptions& options, int record_count) {
+void measure_repair_row(const ReplicationOptions& options, int record_count) {
     ReplicationOptions row_options = options;
     row_options.planners.keep_folder = true;
     SidecarClusterOptions base = cluster_options_of(row_options);
     base.time_to_live = 600;
     ReplicationFleet fleet(row_options, base);
-    start(fleet);
+    start_fleet(fleet);
     store_records(fleet, record_count);
     start_clients(fleet);
-    Spread before = first_answers(fleet, 0);
+    Latencies before = first_attempt_latencies(fleet, 0);
     const int lost = fleet.busiest_member(true);
-    const std::size_t records_at_lost = records_of(fleet, lost);
+    const std::size_t records_at_lost = record_count_of(fleet, lost);
     const std::size_t from = fleet.clients.requests.size();
     fleet.lose_machine(lost);
     const Seconds lost_at = net::clock_now();
@@ -252,18 +256,19 @@
     const Seconds complete_after = net::clock_now() - lost_at;
     fleet.clients.stop();
     fleet.run(1.8);
-    Spread meanwhile = first_answers(fleet, from);
+    Latencies meanwhile = first_attempt_latencies(fleet, from);
     fmt::print("| {} | {} | {:.2f} | {:.2f} | {:.1f} | {:.1f} | {:.1f} | {:.1f} | {} of {} |\n",
-               record_count, records_at_lost, complete_after, known_after, before.at(0.5) * 1e3,
-               before.at(0.99) * 1e3, meanwhile.at(0.5) * 1e3, meanwhile.at(0.99) * 1e3,
+               record_count, records_at_lost, complete_after, known_after,
+               before.value_at(0.5) * 1e3, before.value_at(0.99) * 1e3,
+               meanwhile.value_at(0.5) * 1e3, meanwhile.value_at(0.99) * 1e3,
                rejected_since(fleet, from, lost), fleet.clients.requests.size() - from);
     std::fflush(stdout);
-    remove(fleet);
+    remove_folders(fleet);
 }
 
 }  // namespace
 
-void measure_replicated_requests(const ReplicationOptions& options, Seconds span) {
+void measure_replicated_requests(const ReplicationOptions& options, Seconds duration) {
     fmt::print(
         "{} sidecars, {} charges a second together, {:.0f} s a row; then {} callers that ask again "
         "at once, "
@@ -273,11 +278,11 @@
         "| charges a "
         "second at saturation | p50 there, ms | p99 |\n"
         "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n",
-        options.members, kRate, span, kSaturatingClients, span);
+        options.members, kChargesPerSecond, duration, kSaturatingClients, duration);
     for (const RequestRow& row :
          {RequestRow{"off", 0, true}, RequestRow{"1", 1, true}, RequestRow{"2", 2, true},
           RequestRow{"3", 3, true}, RequestRow{"2, an fsync each", 2, false}}) {
-        measure_row(options, row, span);
+        measure_request_row(options, row, duration);
     }
 }
 
@@ -292,9 +297,9 @@
         "p99 | p50 meanwhile | p99 | throttled meanwhile |\n| --- | --- | --- | --- | --- | --- | "
         "--- | --- "
         "| --- |\n",
-        options.members, kRate);
+        options.members, kChargesPerSecond);
     for (const int record_count : {1000, 5000, 20000, 50000}) {
-        measure_repair_of(options, record_count);
+        measure_repair_row(options, record_count);
     }
 }
 
--- a/tools/fault_tests/replication_scenario_list.hpp
+++ b/tools/fault_tests/replication_scenario_list.hpp
@@ -17,14 +17,14 @@
 void epochs_kept(ReplicationFleet& fleet);
 
 // replication_scenarios_network.cpp
-void between_copies(ReplicationFleet& fleet);
-void reply_held(ReplicationFleet& fleet);
+void primary_lost_mid_replication(ReplicationFleet& fleet);
+void claim_reply_delayed(ReplicationFleet& fleet);
 void slow_links(ReplicationFleet& fleet);
 void stopped_primary(ReplicationFleet& fleet);
 void rolling_restart(ReplicationFleet& fleet);
 
 // replication_scenarios_disk.cpp
-void bad_disks(ReplicationFleet& fleet);
+void failing_disks(ReplicationFleet& fleet);
 void altered_record(ReplicationFleet& fleet);
 
 }  // namespace tideline::fault_tests
--- a/tools/fault_tests/replication_scenarios.cpp
+++ b/tools/fault_tests/replication_scenarios.cpp
@@ -27,12 +27,12 @@
                                           {"coordinator-lost", coordinator_lost},
                                           {"homes-lost", primaries_lost},
                                           {"place-lost", place_lost},
-                                          {"between-copies", between_copies, 3},
-                                          {"word-held", reply_held},
+                                          {"between-copies", primary_lost_mid_replication, 3},
+                                          {"word-held", claim_reply_delayed},
                                           {"slow-links", slow_links},
                                           {"stopped-home", stopped_primary},
                                           {"rolling-restart", rolling_restart},
-                                          {"bad-disks", bad_disks},
+                                          {"bad-disks", failing_disks},
                                           {"flipped", altered_record, 2, 2e6, 2},
                                           {"no-planners", no_planners},
                                           {"too-many", too_many_machines_lost, 2, 2e6, 3600, 12},
@@ -165,10 +165,10 @@
             fleet_.apply("start", {partner});
         }
     }
-    void undo_after(const std::string& fault, double member, Seconds span,
+    void undo_after(const std::string& fault, double member, Seconds duration,
                     const std::string& undo) {
         fleet_.apply(fault, {member});
-        fleet_.run(span);
+        fleet_.run(duration);
         fleet_.apply(undo, {member});
     }
     void cut_link(double from, double to) {
--- a/tools/fault_tests/replication_scenarios.hpp
+++ b/tools/fault_tests/replication_scenarios.hpp
@@ -26,7 +26,7 @@
                                    Seconds length, int& machines_lost, int& duplicate_effects);
 // What a replicated charge costs beside one that is not, for 1, 2 and 3 replicas. `span`: s for
 // each row.
-void measure_replicated_requests(const ReplicationOptions& options, Seconds span);
+void measure_replicated_requests(const ReplicationOptions& options, Seconds duration);
 // How long repair takes by the number of records, and latencies meanwhile.
 void measure_repair(const ReplicationOptions& options);
 // Memory and disk that `count` stored records take, and how long it takes to store and read them.
--- a/tools/fault_tests/replication_scenarios_network.cpp
+++ b/tools/fault_tests/replication_scenarios_network.cpp
@@ -5,7 +5,7 @@
 namespace tideline::fault_tests {
 
 // A primary reaches only one of its replicas, and is lost then.
-void between_copies(ReplicationFleet& fleet) {
+void primary_lost_mid_replication(ReplicationFleet& fleet) {
     const int primary = fleet.busiest_member(true);
     for (int to = 1; to <= 3; ++to) {
         if (to != primary) {
@@ -19,7 +19,7 @@
     fleet.apply("start", {static_cast<double>(primary)});
 }
 // The primary's reply to a claim does not reach the claimant, which is then lost, or goes on.
-void reply_held(ReplicationFleet& fleet) {
+void claim_reply_delayed(ReplicationFleet& fleet) {
     const int primary = fleet.busiest_member(true);
     for (const bool claimant_lost : {false, true}) {
         const int claimant = primary == 1 ? 2 : 1;
--- a/tools/fault_tests/schedule.cpp
+++ b/tools/fault_tests/schedule.cpp
@@ -70,9 +70,9 @@
             event.arguments.push_back(number);
         }
         const auto known = kEventForms.find(event.action);
-        const bool all_healed = event.action == "heal" && event.arguments.empty();
+        const bool heals_all_links = event.action == "heal" && event.arguments.empty();
         if (!has_time_and_action || !fields.eof() || known == kEventForms.end() ||
-            (!all_healed && event.arguments.size() != known->second.first)) {
+            (!heals_all_links && event.arguments.size() != known->second.first)) {
             throw std::runtime_error(fmt::format("line {}: no event: {}", line_number, line));
         }
         for (std::size_t i = 0; i < known->second.second && i < event.arguments.size(); ++i) {
--- a/tools/fault_tests/sidecar_cluster.cpp
+++ b/tools/fault_tests/sidecar_cluster.cpp
@@ -18,7 +18,7 @@
 constexpr int kDiscoveryPort = 8500;
 constexpr int kPlatformPort = 6400;
 constexpr int kClientPort = 5433;
-constexpr int kFirstEndpoints = 4;
+constexpr int kInitialEndpointCount = 4;
 
 int host_of(int member) {
     return 256 + member;
@@ -41,7 +41,7 @@
     folder = name;
     platform.advances_by_votes = false;
     effects.repeatable = {"instalment"};
-    for (int i = 0; i < kFirstEndpoints; ++i) {
+    for (int i = 0; i < kInitialEndpointCount; ++i) {
         add_endpoint(41);
     }
     for (int i = 0; i < options.draining_entries; ++i) {
@@ -143,10 +143,12 @@
   {}{}limits = {{ frame = {}; }};
 }};
 )",
-        i, i % 3, text_of(at_port(i, kFleetPort, kListenNet)),
-        text_of(at_port(i, kFleetPort, kDialledNet)), text_of(at_port(1, kFleetPort, kDialledNet)),
-        text_of(at_port(2, kFleetPort, kDialledNet)), path_of(i), kPeriod, kPeriod * 0.4, kGrace,
-        kOutAfter, kBlindAfter, kMostOut, planners_config(), replication_config(),
+        i, i % 3, text_of(at_port(i, kClusterPort, kListenNetwork)),
+        text_of(at_port(i, kClusterPort, kDialedNetwork)),
+        text_of(at_port(1, kClusterPort, kDialedNetwork)),
+        text_of(at_port(2, kClusterPort, kDialedNetwork)), path_of(i), kProbeInterval,
+        kProbeInterval * 0.4, kLagGracePeriod, kExclusionDelay, kUncertaintyDelay,
+        kMaxExcludedShare, planners_config(), replication_config(),
         i == options.small_frames_member ? 16384 : 1 << 20);
 }
 
@@ -170,7 +172,7 @@
         command.insert(command.end(), {"--fleet", path + ".cfg"});
     }
     member.process->start(command, path + ".log");
-    member.stopped = member.ending = false;
+    member.stopped = member.is_terminating = false;
     mark_up(i);
 }
 void SidecarCluster::end_processes() {
@@ -185,9 +187,9 @@
     run(1);
     // A request to a sidecar that does not listen yet is no request of it: on a loaded machine a
     // process may take longer than that second to start.
-    run_until(kStartWithin, [this] { return all_listen(); });
+    run_until(kStartTimeout, [this] { return all_listen(); });
     for (int i = 1; i <= options.members; ++i) {
-        if (!members[static_cast<std::size_t>(i)].process->runs() || !listens(i)) {
+        if (!members[static_cast<std::size_t>(i)].process->runs() || !is_listening(i)) {
             throw std::runtime_error(fmt::format("n{} did not start: {}", i, log_of(i)));
         }
         if (options.rate > 0) {
@@ -196,22 +198,22 @@
     }
     start = net::clock_now();
 }
-bool SidecarCluster::listens(int member) const {
+bool SidecarCluster::is_listening(int member) const {
     return log_of(member).find(" sidecar started: ") != std::string::npos;
 }
 bool SidecarCluster::all_listen() const {
     for (int i = 1; i <= options.members; ++i) {
-        if (!listens(i)) {
+        if (!is_listening(i)) {
             return false;
         }
     }
     return true;
 }
-void SidecarCluster::run(Seconds span) {
-    run_until(span, [] { return false; });
+void SidecarCluster::run(Seconds duration) {
+    run_until(duration, [] { return false; });
 }
-bool SidecarCluster::run_until(Seconds most, const std::function<bool()>& holds) {
-    return fakes::run_until(loop, most, holds);
+bool SidecarCluster::run_until(Seconds timeout, const std::function<bool()>& predicate) {
+    return fakes::run_until(loop, timeout, predicate);
 }
 
 std::string SidecarCluster::folder_of(int member) const {
--- a/tools/fault_tests/sidecar_cluster.hpp
+++ b/tools/fault_tests/sidecar_cluster.hpp
@@ -44,13 +44,13 @@
 };
 
 // Times of the members in seconds; short, so that a test is.
-constexpr Seconds kPeriod = 0.2;
+constexpr Seconds kProbeInterval = 0.2;
 // A process that was started listens within that time, also on a loaded machine.
-constexpr Seconds kStartWithin = 20;
-constexpr Seconds kGrace = 1;
-constexpr Seconds kOutAfter = 1.5;
-constexpr Seconds kBlindAfter = 2.5;
-constexpr double kMostOut = 0.25;
+constexpr Seconds kStartTimeout = 20;
+constexpr Seconds kLagGracePeriod = 1;
+constexpr Seconds kExclusionDelay = 1.5;
+constexpr Seconds kUncertaintyDelay = 2.5;
+constexpr double kMaxExcludedShare = 0.25;
 constexpr int kTrialBuild = 42;
 constexpr int kEndpointPort = 5432;
 
@@ -58,7 +58,7 @@
 struct Interval {
     Seconds from = 0;
     Seconds to = 1e18;
-    bool holds(Seconds at) const {
+    bool contains(Seconds at) const {
         return at >= from && at < to;
     }
 };
@@ -91,14 +91,14 @@
     void apply(const Event& event);
     // Whether the sidecar's log says that it listens; of a sidecar that was restarted, whether it
     // ever did.
-    bool listens(int member) const;
+    bool is_listening(int member) const;
     bool all_listen() const;
-    void run(Seconds span);  // the loop
-    bool run_until(Seconds most, const std::function<bool()>& holds);
+    void run(Seconds duration);  // the loop
+    bool run_until(Seconds timeout, const std::function<bool()>& predicate);
     // From now on audits one member after the other, a quarter of a second apart.
     void start_audits();
     bool all_current(const Audit& audit) const;
-    const Audit* newest() const {
+    const Audit* newest_audit() const {
         return audits.empty() ? nullptr : &audits.back();
     }
     std::string log_of(int member) const;
@@ -110,12 +110,12 @@
     struct Member {
         std::unique_ptr<fakes::Process> process = std::make_unique<fakes::Process>();
         std::unique_ptr<fakes::FakeClients> clients;
-        std::vector<Interval> up;  // the process runs, and is not stopped
-        std::vector<Interval> muted;
+        std::vector<Interval> up_intervals;  // the process runs, and is not stopped
+        std::vector<Interval> muted_intervals;
         int discovery_listener = -1;
         int platform_listener = -1;
         bool stopped = false;
-        bool ending = false;
+        bool is_terminating = false;
     };
     net::EventLoop& loop;
     const SidecarClusterOptions options;
--- a/tools/fault_tests/sidecar_cluster_faults.cpp
+++ b/tools/fault_tests/sidecar_cluster_faults.cpp
@@ -22,15 +22,15 @@
 }  // namespace
 
 void SidecarCluster::mark_up(int i) {
-    auto& spans = members[static_cast<std::size_t>(i)].up;
-    if (spans.empty() || spans.back().to < 1e18) {
-        spans.push_back({net::clock_now(), 1e18});
+    auto& intervals = members[static_cast<std::size_t>(i)].up_intervals;
+    if (intervals.empty() || intervals.back().to < 1e18) {
+        intervals.push_back({net::clock_now(), 1e18});
     }
 }
 void SidecarCluster::mark_down(int i) {
-    auto& spans = members[static_cast<std::size_t>(i)].up;
-    if (!spans.empty()) {
-        spans.back().to = std::min(spans.back().to, net::clock_now());
+    auto& intervals = members[static_cast<std::size_t>(i)].up_intervals;
+    if (!intervals.empty()) {
+        intervals.back().to = std::min(intervals.back().to, net::clock_now());
     }
 }
 void SidecarCluster::cut(int from, int to) {
@@ -42,8 +42,8 @@
 }
 void SidecarCluster::heal(int from, int to) {
     relay.heal({from, to});
-    if (auto& spans = cuts[{from, to}]; !spans.empty()) {
-        spans.back().to = std::min(spans.back().to, net::clock_now());
+    if (auto& intervals = cuts[{from, to}]; !intervals.empty()) {
+        intervals.back().to = std::min(intervals.back().to, net::clock_now());
     }
 }
 
@@ -64,18 +64,18 @@
         return false;
     }
     mark_up(number);
-    if (member.ending) {
-        member.up.back().to = net::clock_now() + kShutdownGrace;
+    if (member.is_terminating) {
+        member.up_intervals.back().to = net::clock_now() + kShutdownGrace;
     }
     return true;
 }
 void SidecarCluster::terminate(int number) {
     Member& member = members[static_cast<std::size_t>(number)];
     mark_down(number);
-    if (!member.up.empty()) {
-        member.up.back().to += kShutdownGrace;  // it serves on for a while
+    if (!member.up_intervals.empty()) {
+        member.up_intervals.back().to += kShutdownGrace;  // it serves on for a while
     }
-    member.ending = true;
+    member.is_terminating = true;
     member.process->signal(SIGTERM);
 }
 
@@ -161,9 +161,10 @@
     discovery.mute(member.discovery_listener, muted);
     platform.mute(member.platform_listener, muted);
     if (muted) {
-        member.muted.push_back({net::clock_now(), 1e18});
-    } else if (!member.muted.empty()) {
-        member.muted.back().to = std::min(member.muted.back().to, net::clock_now());
+        member.muted_intervals.push_back({net::clock_now(), 1e18});
+    } else if (!member.muted_intervals.empty()) {
+        member.muted_intervals.back().to =
+            std::min(member.muted_intervals.back().to, net::clock_now());
     }
 }
 
--- a/tools/fault_tests/sidecar_scenario_list.hpp
+++ b/tools/fault_tests/sidecar_scenario_list.hpp
@@ -7,17 +7,17 @@
 namespace tideline::fault_tests {
 
 // sidecar_scenarios_membership.cpp
-void brought_up(SidecarScenarioRun& run);
-void hears_nothing(SidecarScenarioRun& run);
-void shut_out(SidecarScenarioRun& run);
+void lagging_member_updated(SidecarScenarioRun& run);
+void receives_nothing(SidecarScenarioRun& run);
+void lagging_member_excluded(SidecarScenarioRun& run);
 void false_revisions(SidecarScenarioRun& run);
 void partition(SidecarScenarioRun& run);
-void restarts(SidecarScenarioRun& run);
+void member_restarted(SidecarScenarioRun& run);
 void slow(SidecarScenarioRun& run);
-void stands_still(SidecarScenarioRun& run);
+void member_stopped(SidecarScenarioRun& run);
 
 // sidecar_scenarios_input.cpp
-void strangers(SidecarScenarioRun& run);
-void reloaded(SidecarScenarioRun& run);
+void invalid_connections(SidecarScenarioRun& run);
+void configuration_reloaded(SidecarScenarioRun& run);
 
 }  // namespace tideline::fault_tests
--- a/tools/fault_tests/sidecar_scenarios.cpp
+++ b/tools/fault_tests/sidecar_scenarios.cpp
@@ -11,11 +11,16 @@
 namespace {
 
 const std::vector<std::pair<std::string, void (*)(SidecarScenarioRun&)>> kScenarios = {
-    {"brought-up", brought_up},     {"hears-nothing", hears_nothing},
-    {"shut-out", shut_out},         {"mad", false_revisions},
-    {"partition", partition},       {"restarts", restarts},
-    {"stands-still", stands_still}, {"slow", slow},
-    {"strangers", strangers},       {"reloaded", reloaded}};
+    {"brought-up", lagging_member_updated},
+    {"hears-nothing", receives_nothing},
+    {"shut-out", lagging_member_excluded},
+    {"mad", false_revisions},
+    {"partition", partition},
+    {"restarts", member_restarted},
+    {"stands-still", member_stopped},
+    {"slow", slow},
+    {"strangers", invalid_connections},
+    {"reloaded", configuration_reloaded}};
 
 template <class InjectFaults>
 bool run_scenario(const std::string& name, SidecarClusterOptions options,
@@ -27,7 +32,7 @@
         run.begin();
         inject_faults(run);
         run.settle();
-        run.finish();
+        run.stop_and_check();
     } catch (const std::exception& error) {
         run.result.violations.push_back(error.what());
     }
@@ -95,11 +100,11 @@
 }
 
 void measure_sidecar_cost(SidecarClusterOptions options) {
-    constexpr Seconds kSpan = 20;
+    constexpr Seconds kMeasurementDuration = 20;
     fmt::print(
         "mean of {} sidecars at {} invocations a second each, {:.0f} s\n\n"
         "| fleet | CPU, ms a second | resident, KB | descriptors |\n| --- | --- | --- | --- |\n",
-        options.members, options.rate, kSpan);
+        options.members, options.rate, kMeasurementDuration);
     for (const bool off : {true, false}) {
         options.without_cluster = off;
         net::EventLoop loop;
@@ -114,8 +119,9 @@
             return sum / options.members;
         };
         const double before = mean([&](int i) { return cluster.cpu_of(i); });
-        cluster.run(kSpan);
-        const double cpu = (mean([&](int i) { return cluster.cpu_of(i); }) - before) / kSpan * 1e3;
+        cluster.run(kMeasurementDuration);
+        const double cpu =
+            (mean([&](int i) { return cluster.cpu_of(i); }) - before) / kMeasurementDuration * 1e3;
         fmt::print("| {} | {:.2f} | {:.0f} | {:.1f} |\n", off ? "off" : "on, period 0.2 s", cpu,
                    mean([&](int i) { return cluster.memory_of(i); }),
                    mean([&](int i) { return cluster.descriptors_of(i); }));
--- a/tools/fault_tests/sidecar_scenarios_membership.cpp
+++ b/tools/fault_tests/sidecar_scenarios_membership.cpp
@@ -19,13 +19,13 @@
 
 // Discovery and release platform of a member fall silent while both change: peers transfer the
 // state it lacks.
-void brought_up(SidecarScenarioRun& run) {
+void lagging_member_updated(SidecarScenarioRun& run) {
     offer(run);
     run.cluster.apply({0, "mute", {5}});
     run.cluster.apply({0, "pod", {}});
     run.cluster.apply({0, "back", {}});
     run.wait_until("a lagging member is brought up", 10, [&](const Audit& audit) {
-        return audit.asked_member != 5 && SidecarScenarioRun::state(audit, 5) == "current" &&
+        return audit.asked_member != 5 && SidecarScenarioRun::state_of(audit, 5) == "current" &&
                run.cluster.log_of(5).find("state transfer adopted: part=release_status") !=
                    std::string::npos &&
                run.cluster.log_of(5).find("state transfer adopted: part=endpoint_list") !=
@@ -36,7 +36,7 @@
 
 // A member that sends but receives nothing: no peer can transfer state to it, or query it. It stops
 // taking part in the trial by itself.
-void hears_nothing(SidecarScenarioRun& run) {
+void receives_nothing(SidecarScenarioRun& run) {
     offer(run);
     run.cluster.apply({0, "mute", {4}});
     for (int other = 1; other <= run.cluster.options.members; ++other) {
@@ -50,7 +50,7 @@
         return !participation.empty() && participation.back().value != "open";
     });
     run.wait_until("it is held for gone", 10, [&](const Audit& audit) {
-        return audit.asked_member != 4 && SidecarScenarioRun::state(audit, 4) == "gone";
+        return audit.asked_member != 4 && SidecarScenarioRun::state_of(audit, 4) == "gone";
     });
     run.cluster.run(1);
     run.cluster.apply({0, "heal", {}});
@@ -59,21 +59,21 @@
 
 // A member lags, and the state it lacks is longer than the frames it takes. It is shut out, sends
 // nothing to the trial, and is admitted once its own discovery sends changes again.
-void shut_out(SidecarScenarioRun& run) {
+void lagging_member_excluded(SidecarScenarioRun& run) {
     offer(run);
     run.cluster.apply({0, "mute", {4}});
     const Seconds from = net::clock_now();
     run.cluster.apply({0, "pod", {}});
     const auto state_is = [](const char* state) {
         return [state](const Audit& audit) {
-            return audit.asked_member != 4 && SidecarScenarioRun::state(audit, 4) == state;
+            return audit.asked_member != 4 && SidecarScenarioRun::state_of(audit, 4) == state;
         };
     };
     run.wait_until("a straggler is seen", 10, state_is("straggler"));
     run.wait_until("it is shut out", 10, state_is("shut out"));
-    run.figure("shut out after it fell behind, s", net::clock_now() - from);
+    run.add_figure("shut out after it fell behind, s", net::clock_now() - from);
     run.wait_until("it knows", 5, [&](const Audit& audit) {
-        return audit.asked_member == 4 && SidecarScenarioRun::state(audit, 4) == "shut out";
+        return audit.asked_member == 4 && SidecarScenarioRun::state_of(audit, 4) == "shut out";
     });
     run.expect(trial_participation_of(run.cluster, 4).back().value == "no trial",
                "it does not stand aside");
@@ -118,23 +118,23 @@
 }
 
 // A member is killed and restarted, with its disk and without.
-void restarts(SidecarScenarioRun& run) {
+void member_restarted(SidecarScenarioRun& run) {
     const auto incarnation = [&](int member) {
-        const Audit* audit = run.cluster.newest();
+        const Audit* audit = run.cluster.newest_audit();
         return audit && audit->rows.contains(member) ? audit->rows.at(member).incarnation : 0;
     };
     for (const bool wiped : {false, true}) {
         const auto before = incarnation(3);
         run.cluster.apply({0, "kill", {3}});
         run.wait_until("a death is known", 15, [&](const Audit& audit) {
-            return SidecarScenarioRun::state(audit, 3) == "gone";
+            return SidecarScenarioRun::state_of(audit, 3) == "gone";
         });
         if (wiped) {
             run.cluster.apply({0, "wipe", {3}});
         }
         run.cluster.apply({0, "start", {3}});
         run.wait_until("a return is known", 15, [&](const Audit& audit) {
-            return audit.asked_member != 3 && SidecarScenarioRun::state(audit, 3) == "current" &&
+            return audit.asked_member != 3 && SidecarScenarioRun::state_of(audit, 3) == "current" &&
                    audit.rows.at(3).incarnation > before;
         });
     }
@@ -158,10 +158,10 @@
 }
 
 // A member is stopped for longer than it takes to be declared gone, and resumed.
-void stands_still(SidecarScenarioRun& run) {
+void member_stopped(SidecarScenarioRun& run) {
     run.cluster.apply({0, "stop", {2}});
     run.wait_until("one that stands still is held for gone", 15, [&](const Audit& audit) {
-        return SidecarScenarioRun::state(audit, 2) == "gone";
+        return SidecarScenarioRun::state_of(audit, 2) == "gone";
     });
     const Seconds from = net::clock_now();
     run.cluster.apply({0, "go", {2}});
--- a/tools/fault_tests/stored_records_cost.cpp
+++ b/tools/fault_tests/stored_records_cost.cpp
@@ -21,7 +21,7 @@
 
 using namespace replication;
 
-constexpr int kStoredAtOnce = 64;
+constexpr int kWriteBatchSize = 64;
 
 struct NullSender : MessageSender {
     void post(const Name&, const wire::Holding&) override {}
@@ -45,7 +45,7 @@
 };
 
 // Bytes of memory that this process has resident.
-double resident() {
+double resident_bytes() {
     std::ifstream file("/proc/self/status");
     for (std::string field; file >> field;) {
         if (field == "VmRSS:" && file >> field) {
@@ -85,37 +85,37 @@
 class StoredRecordsCost {
   public:
     StoredRecordsCost(std::string folder, int count) : folder_(std::move(folder)), count_(count) {}
-    void measure_storing() const {
+    void measure_writes() const {
         ReplicaStore store(folder_, Name{"n1"}, 7, settings_);
-        const double memory = resident();
+        const double memory = resident_bytes();
         const Seconds from = now();
         for (int i = 0; i < count_; ++i) {
             const WriteNumber number{static_cast<std::uint64_t>(i) + 1};
             store.put(number, ShardId{static_cast<std::uint32_t>(i) % 256}, record_of(i), 0);
-            if (i % kStoredAtOnce == kStoredAtOnce - 1) {
+            if (i % kWriteBatchSize == kWriteBatchSize - 1) {
                 wait_until_stored(store, number);
             }
         }
         wait_until_stored(store, WriteNumber{static_cast<std::uint64_t>(count_)});
         print_row("stored, 64 at once (the disk's part of memory)", now() - from, store.commits(),
-                  resident() - memory);
+                  resident_bytes() - memory);
     }
-    void measure_reading() const {
-        const double memory = resident();
+    void measure_reads() const {
+        const double memory = resident_bytes();
         const Seconds from = now();
         ReplicaStore store(folder_, Name{"n1"}, 7, settings_);
-        StoredState found = store.take_found();
+        StoredState stored_state = store.take_found();
         NullSender null_sender;
         ReplicaHost& host = null_sender;
-        const Replica replica(host, {}, Name{"n1"}, store.disk(), std::move(found), 0);
+        const Replica replica(host, {}, Name{"n1"}, store.disk(), std::move(stored_state), 0);
         print_row("read back at a start, and held", now() - from, store.commits(),
-                  resident() - memory);
+                  resident_bytes() - memory);
     }
 
   private:
-    void print_row(const char* way, Seconds took, std::uint64_t commits, double memory) const {
-        fmt::print("| {} | {} | {:.2f} | {:.0f} | {} | {:.0f} | {:.0f} |\n", way, count_, took,
-                   count_ / took, commits, memory / count_,
+    void print_row(const char* way, Seconds elapsed, std::uint64_t commits, double memory) const {
+        fmt::print("| {} | {} | {:.2f} | {:.0f} | {} | {:.0f} | {:.0f} |\n", way, count_, elapsed,
+                   count_ / elapsed, commits, memory / count_,
                    static_cast<double>(std::filesystem::file_size(folder_ + "/held.db")) / count_);
         std::fflush(stdout);
     }
@@ -136,8 +136,8 @@
         "| on the disk |\n"
         "| --- | --- | --- | --- | --- | --- | --- |\n");
     const StoredRecordsCost cost(folder, count);
-    cost.measure_storing();
-    cost.measure_reading();
+    cost.measure_writes();
+    cost.measure_reads();
     std::filesystem::remove_all(folder);
 }
 
--- a/tools/fault_tests/violations.hpp
+++ b/tools/fault_tests/violations.hpp
@@ -11,7 +11,7 @@
   public:
     // Keeps the line; past kMost further ones are dropped.
     void add(std::string line) {
-        if (lines_.size() < kMost) {
+        if (lines_.size() < kMaxViolations) {
             lines_.push_back(std::move(line));
         }
     }
@@ -22,7 +22,7 @@
     }
 
   private:
-    static constexpr std::size_t kMost = 20;
+    static constexpr std::size_t kMaxViolations = 20;
     std::vector<std::string> lines_;
 };
 
