--- a/tools/model_checker/lease_model.hpp
+++ b/tools/model_checker/lease_model.hpp
@@ -29,13 +29,13 @@
     std::vector<std::string> setup;  // as run_setup takes it
     LeaseEventLimits limits;
     int depth = 0;
-    std::size_t batch = 128;  // Raft log entries in one message
+    std::size_t max_entries_per_message = 128;  // Raft log entries in one message
 };
 
 std::vector<LeaseScenario> lease_scenarios();
 SearchResult search_leases(const LeaseScenario& scenario, int depth, std::size_t max_states);
 // Replays a schedule from a file, one event a line. True if all invariants hold; throws
 // std::runtime_error if the file can't be read or an event is not possible.
-bool replay(const std::string& path, std::size_t batch);
+bool replay(const std::string& path, std::size_t max_entries_per_message);
 
 }  // namespace tideline::model_checker
--- a/tools/simulation/lease_faults.hpp
+++ b/tools/simulation/lease_faults.hpp
@@ -24,10 +24,10 @@
     void readmit_wiped_planner();
 
     void kill_planner(int planner, double until);
-    void stop_leader(double until);
-    void stop_holder(double until);
-    void cut(int from, int to, double until);
-    void split(double until);
+    void pause_leader(double until);
+    void pause_holder(double until);
+    void cut_connection(int from, int to, double until);
+    void split_network(double until);
     void slow_node(int node, double until);
     void kill_member(int member, double until);
     void release_twice();
--- a/tools/simulation/replication_driver.hpp
+++ b/tools/simulation/replication_driver.hpp
@@ -50,7 +50,7 @@
     void update_membership_of(int member);
     void log_table();
     void update_lease();
-    bool coordinator_is_reachable() const;
+    bool is_coordinator_reachable() const;
     void drive_clients();
     void submit_request();
 
--- a/tools/simulation/replication_faults.cpp
+++ b/tools/simulation/replication_faults.cpp
@@ -27,7 +27,7 @@
     switch (driver_.draw_below(13)) {
         case 0:
         case 1:
-            kill(member, until);
+            kill_member(member, until);
             break;
         case 2:
         case 3:
@@ -35,14 +35,14 @@
             lose_machines();
             break;
         case 5:
-            stop(member, until);
+            pause_member(member, until);
             break;
         case 6:
         case 7:
-            cut(member, other_node, until);
+            cut_connection(member, other_node, until);
             break;
         case 8:
-            split(until);
+            split_network(until);
             break;
         case 9:
             slow_member(member, until);
@@ -72,7 +72,7 @@
     });
 }
 
-void ReplicationFaults::kill(int member, double until) {
+void ReplicationFaults::kill_member(int member, double until) {
     log(fmt::format("kill n{}", member + 1));
     driver_.kill(member);
     log_and_call_at(until, fmt::format("start n{}", member + 1),
@@ -121,44 +121,44 @@
     return lost;
 }
 
-void ReplicationFaults::stop(int member, double until) {
+void ReplicationFaults::pause_member(int member, double until) {
     log(fmt::format("stop n{}", member + 1));
-    driver_.stop(member, true);
+    driver_.set_paused(member, true);
     log_and_call_at(until, fmt::format("go n{}", member + 1),
-                    [this, member] { driver_.stop(member, false); });
+                    [this, member] { driver_.set_paused(member, false); });
 }
 
-void ReplicationFaults::cut(int from, int to, double until) {
+void ReplicationFaults::cut_connection(int from, int to, double until) {
     log(fmt::format("cut {} {}", from + 1, to + 1));
-    driver_.cut(from, to, true);
+    driver_.set_cut(from, to, true);
     if (driver_.draw(0, 1) < 0.5) {
-        driver_.cut(to, from, true);
+        driver_.set_cut(to, from, true);
     }
     log_and_call_at(until, "heal", [this, from, to] {
-        driver_.cut(from, to, false);
-        driver_.cut(to, from, false);
+        driver_.set_cut(from, to, false);
+        driver_.set_cut(to, from, false);
     });
 }
 
-void ReplicationFaults::split(double until) {
+void ReplicationFaults::split_network(double until) {
     log("split");
-    driver_.split(0.4);
-    log_and_call_at(until, "heal", [this] { driver_.heal(); });
+    driver_.split_network(0.4);
+    log_and_call_at(until, "heal", [this] { driver_.heal_cuts(); });
 }
 
 void ReplicationFaults::slow_member(int member, double until) {
     log(fmt::format("slow n{}", member + 1));
-    driver_.delay(member, driver_.draw(0.1, 3));
-    log_and_call_at(until, "no longer slow", [this, member] { driver_.delay(member, 0); });
+    driver_.set_delay(member, driver_.draw(0.1, 3));
+    log_and_call_at(until, "no longer slow", [this, member] { driver_.set_delay(member, 0); });
 }
 
 void ReplicationFaults::slow_disk_then_kill(int member, double until) {
     const double delay = driver_.draw(0.05, 0.8);
     log(fmt::format("writes of n{} take up to {:.2f} s, then it is killed", member + 1, delay));
-    driver_.slow_disk(member, delay);
+    driver_.set_disk_delay(member, delay);
     log_and_call_at(until, fmt::format("kill n{}", member + 1), [this, member] {
         driver_.kill(member);
-        driver_.slow_disk(member, 0);
+        driver_.set_disk_delay(member, 0);
         driver_.schedule(driver_.now() + 0.2, [this, member] { world_.start(member); });
     });
 }
--- a/tools/simulation/replication_faults.hpp
+++ b/tools/simulation/replication_faults.hpp
@@ -23,12 +23,12 @@
     void log(const std::string& text) const;
     void log_and_call_at(double when, std::string text, std::function<void()> call);
 
-    void kill(int member, double until);
+    void kill_member(int member, double until);
     void lose_machines();
     std::vector<int> draw_lost_machines();
-    void stop(int member, double until);
-    void cut(int from, int to, double until);
-    void split(double until);
+    void pause_member(int member, double until);
+    void cut_connection(int from, int to, double until);
+    void split_network(double until);
     void slow_member(int member, double until);
     void slow_disk_then_kill(int member, double until);
     void corrupt_disk(int member);
--- a/tools/simulation/seeds.hpp
+++ b/tools/simulation/seeds.hpp
@@ -34,9 +34,9 @@
 struct Spread {
     std::vector<double> values;
     // The quantile, from 0 to 1; there must be a value.
-    double quantile(double part) {
+    double quantile(double fraction) {
         std::sort(values.begin(), values.end());
-        return values[static_cast<std::size_t>(part * static_cast<double>(values.size() - 1))];
+        return values[static_cast<std::size_t>(fraction * static_cast<double>(values.size() - 1))];
     }
     // "median (worst)"
     std::string text() {
@@ -46,7 +46,7 @@
 
 // The spread of one member of the structs, one of which belongs to each seed.
 template <class Figures>
-Spread spread_of(const std::vector<Figures>& all, double Figures::*figure) {
+Spread collect_spread(const std::vector<Figures>& all, double Figures::*figure) {
     Spread spread;
     for (const Figures& each : all) {
         spread.values.push_back(each.*figure);
