--- a/src/audit/sealed_heads.hpp
+++ b/src/audit/sealed_heads.hpp
@@ -57,7 +57,7 @@
             const auto epoch = std::find_if(record.epochs.begin(), record.epochs.end(),
                                             [n = number](const Epoch& e) { return e.number == n; });
             if (!folded && epoch == record.epochs.end()) {
-                return "sealed epoch " + std::to_string(number) + " is missing from the record";
+                return "epoch " + std::to_string(number) + ", which it had sealed, is missing";
             }
             if ((folded ? record.fold->digest : epoch->digest) != digest) {
                 return "epoch " + std::to_string(number) + " was changed after it was sealed";
--- a/src/cluster/audit_queries.cpp
+++ b/src/cluster/audit_queries.cpp
@@ -79,7 +79,7 @@
         fault = heads_.find_record_fault(record);
     }
     if (record.name != by) {
-        fault = "it sent the audit record of " + record.name.value;
+        fault = "it answers with the record of " + record.name.value;
     }
     row.set_fault(fault);
     if (!fault.empty()) {
--- a/src/planner/planner_requests.cpp
+++ b/src/planner/planner_requests.cpp
@@ -254,7 +254,7 @@
         return reject(id, "no planner '" + planner.value + "' is in the voter set");
     }
     if (voters.size() <= 1) {
-        return reject(id, "it is the only planner and can't be removed");
+        return reject(id, "it is the only planner");
     }
     planner_core_->remove(now, id, planner);
 }
