--- a/src/net/client_connection.hpp
+++ b/src/net/client_connection.hpp
@@ -21,8 +21,8 @@
 class ClientRequestHandler {
   public:
     virtual ~ClientRequestHandler() = default;
-    // Returns whether the sidecar can serve queries. As long as it can not, the empty query, with
-    // which clients check readiness, is left unanswered.
+    // Returns whether the sidecar can serve queries. Until it can, the empty query, with which
+    // clients check readiness, is left unanswered.
     virtual bool can_serve() = 0;
     // Registers a request without routing it. Returns nothing if the request class is unknown or
     // another open request has the same id.
--- a/src/net/client_listener.hpp
+++ b/src/net/client_listener.hpp
@@ -16,6 +16,7 @@
 // All calls must come from the event loop's thread.
 class ClientListener : public Watcher, ClientConnection::Owner {
   public:
+    // Handles the requests of clients and keeps the limits on descriptors.
     class Owner : public ClientRequestHandler {
       public:
         // Returns whether another descriptor may be opened; may close connections to make room.
--- a/src/net/discovery_client.hpp
+++ b/src/net/discovery_client.hpp
@@ -18,6 +18,8 @@
 // All calls must come from the event loop's thread.
 class DiscoveryClient {
   public:
+    // Receives the endpoint list and the state of the watch. Called only from the event loop's
+    // thread.
     class Owner {
       public:
         virtual ~Owner() = default;
@@ -60,7 +62,7 @@
     }
     // Opens the watch.
     void follow();
-    // The newest revision of the endpoint list that was received; 0 if there is none.
+    // The revision from which a watch has to continue; 0 if no list has been received.
     std::int64_t revision() const {
         return list_.revision();
     }
--- a/src/net/endpoint_pool.hpp
+++ b/src/net/endpoint_pool.hpp
@@ -19,6 +19,7 @@
 // All calls must come from the event loop's thread.
 class EndpointPool : EndpointConnection::Owner {
   public:
+    // Provides statements and receives outcomes. Called only from the event loop's thread.
     class Owner {
       public:
         virtual ~Owner() = default;
@@ -61,6 +62,7 @@
     }
 
   private:
+    // An attempt or a health check that has not ended.
     struct Exchange {
         std::optional<RequestId> request;  // nothing for a health check
         AttemptNumber number;
@@ -70,6 +72,7 @@
         std::uint64_t connection = 0;  // 0 while the exchange waits for a connection
         Timers::Id timer = Timers::kNone;
     };
+    // An endpoint with its connections and the exchanges that wait for one.
     struct Endpoint {
         Address address;
         Build build;
@@ -85,6 +88,7 @@
         int connection_count = 0;
     };
 
+    // A connection of the pool.
     struct PooledConnection {
         EndpointId endpoint;
         int generation = 0;   // generation of the endpoint when the connection was opened
--- a/src/net/release_platform_client.hpp
+++ b/src/net/release_platform_client.hpp
@@ -19,6 +19,7 @@
 // All calls must come from the event loop's thread.
 class ReleasePlatformClient : VoteConnection::Owner {
   public:
+    // Receives what the platform announces and answers. Called only from the event loop's thread.
     class Owner {
       public:
         virtual ~Owner() = default;
--- a/src/net/repeated_answers.cpp
+++ b/src/net/repeated_answers.cpp
@@ -5,6 +5,7 @@
 namespace tideline::net {
 namespace {
 
+// Maximum number of answers that are remembered.
 constexpr std::size_t kMaxRememberedAnswers = 1024;
 
 }  // namespace
--- a/src/net/sidecar_settings.hpp
+++ b/src/net/sidecar_settings.hpp
@@ -14,6 +14,7 @@
 using RequestClassesByName = std::map<std::string, RequestClass, std::less<>>;
 using TenantsByName = std::map<std::string, TenantId, std::less<>>;
 
+// The request classes and the tenants of the settings, by name.
 RequestClassesByName request_classes_of(const Settings& settings);
 TenantsByName tenants_of(const Settings& settings);
 // The request classes that must not take effect twice, with the effect that tells how repeats are
--- a/src/net/tcp_connection.hpp
+++ b/src/net/tcp_connection.hpp
@@ -17,7 +17,8 @@
     std::uint16_t port = 0;  // in network byte order
     bool operator==(const Address&) const = default;
 };
-// Parses host:port, with an IPv4 host in dotted digits. Returns nothing for any other text.
+// Parses and formats host:port, with an IPv4 host in dotted digits. address_of() returns nothing
+// for any other text.
 std::optional<Address> address_of(const std::string& text);
 std::string text_of(const Address& address);
 // Returns a socket that listens at the address; on failure an empty descriptor, with errno set.
