--- a/src/cli/audit.cpp
+++ b/src/cli/audit.cpp
@@ -89,7 +89,7 @@
 // The members that are not up to date, and the exit status that results from them.
 struct Findings {
     std::vector<std::string> stragglers;  // they act on old versions, or their history is broken
-    std::vector<std::string> unknown;     // they could not be asked
+    std::vector<std::string> unknown;     // they could not be queried
     int exit_status = kExitAllCurrent;
 };
 
--- a/src/cli/query.hpp
+++ b/src/cli/query.hpp
@@ -15,8 +15,9 @@
 inline net::Address parse_query_address(const std::string& text) {
     const auto address = net::address_of(text);
     if (!address) {
-        throw std::runtime_error("--address " + text +
-                                 ": malformed; allowed is host:port in digits, as 127.0.0.1:7801");
+        throw std::runtime_error(
+            "--address " + text +
+            ": malformed; expected host:port in digits, such as 127.0.0.1:7801");
     }
     return *address;
 }
--- a/src/cli/replication.cpp
+++ b/src/cli/replication.cpp
@@ -24,7 +24,7 @@
     if (first_comma == std::string::npos || second_comma == std::string::npos ||
         second_comma + 1 == key.size()) {
         throw std::runtime_error("--key " + key +
-                                 ": malformed; allowed is OPERATION,CUSTOMER,FINGERPRINT");
+                                 ": malformed; expected OPERATION,CUSTOMER,FINGERPRINT");
     }
     request.set_operation(key.substr(0, first_comma));
     request.set_customer(key.substr(first_comma + 1, second_comma - first_comma - 1));
--- a/src/cli/sidecar.cpp
+++ b/src/cli/sidecar.cpp
@@ -37,8 +37,8 @@
     void try_reload(bool is_first_try) {
         retry_timer_ = Timers::kNone;
         try {
-            // Both files are read before either is applied, so that an error in one of them leaves
-            // both unapplied.
+            // Both files are read before either is applied, so that an error in one of them keeps
+            // the other from being applied alone.
             const SidecarConfig config = read_sidecar_config(command_.config_path);
             if (member_) {
                 member_->apply_config(cluster::cluster_config_of(command_.cluster_config_path));
@@ -62,8 +62,8 @@
     Timers::Id retry_timer_ = Timers::kNone;
 };
 
-constexpr Seconds kMaxSettleTime =
-    0.5;  // s: a graceful shutdown waits at most this long for other members
+// s: a graceful shutdown waits at most this long for messages to reach other members.
+constexpr Seconds kMaxSettleTime = 0.5;
 
 slow_start::SlowStartSettings slow_start_settings(const SidecarConfig& config) {
     slow_start::SlowStartSettings settings;
--- a/tools/demo/rollout.cpp
+++ b/tools/demo/rollout.cpp
@@ -46,7 +46,7 @@
     void print_leases();
     void lose_machine();
     void stop_processes();
-    // Prints and returns whether everything was as expected, and then removes the folder.
+    // Prints and returns whether everything was as expected. If it was, removes the folder.
     bool report_outcome();
 
   private:
--- a/tools/demo/rollout.hpp
+++ b/tools/demo/rollout.hpp
@@ -1,4 +1,4 @@
-// The demonstration: sidecars through the rollout of a new build.
+// The demonstration, which leads sidecars through the rollout of a new build.
 #pragma once
 
 #include "demo/demo_options.hpp"
--- a/tools/fakes/loopback.cpp
+++ b/tools/fakes/loopback.cpp
@@ -13,7 +13,7 @@
 constexpr int kNetworksPerRun = 4;
 constexpr int kFirstNetwork = 32;  // 127.32: other programs use addresses below it
 constexpr int kLastNetwork = 252;
-constexpr int kLockPort = 7799;  // the run that holds a block binds it in the first network
+constexpr int kLockPort = 7799;  // a run holds a block by binding this port in its first network
 
 // Takes a block of networks by binding its lock port. The socket is left open, so that the block
 // stays taken until the process ends. Returns false if another run holds the block.
--- a/tools/soak/soak_run.cpp
+++ b/tools/soak/soak_run.cpp
@@ -30,13 +30,13 @@
 constexpr int kLowSocketLimit = 96;
 // With every third seed the sidecar may use only few sockets.
 constexpr std::uint32_t kSeedsPerLowSocketLimit = 3;
-// s after SIGTERM: until then clients still connect.
+// s: for how long after SIGTERM clients still open connections.
 constexpr Seconds kReconnectDuration = 0.3;
-// s after SIGTERM: the earliest SIGKILL that the protocol allows, which is the longest time limit
-// plus 0.7 s.
+// s: the shortest time from SIGTERM to SIGKILL that the protocol allows, which is the longest time
+// limit plus 0.7 s.
 constexpr Seconds kMinKillDelay = 1.5 + 0.7;
 constexpr Seconds kServingTimeout = 12;
-constexpr Seconds kHangDuration = 30;
+constexpr Seconds kHangDuration = 30;  // the latency of endpoints that hang
 // s: the drain grace of the settings, plus how long a process may be suspended.
 constexpr Seconds kDrainGrace = 0.5 + 0.15;
 
@@ -186,7 +186,7 @@
     process_.signal(SIGHUP);
 }
 
-// Announces a change without a difference: an endpoint as it was.
+// Lists an endpoint again as it was: a change of the list that makes no difference to sidecars.
 void SoakRun::announce_change() {
     const std::size_t last = endpoint_ids_.size() - 1;
     if (!is_draining_) {
