--- a/tools/planner_world/linearizability.hpp
+++ b/tools/planner_world/linearizability.hpp
@@ -25,11 +25,11 @@
         may_clear
     } kind = granted;
     FencingToken token;
-    // The true times of the request and of its answer, in seconds. A negative value of asked means
-    // that the operation was rejected and had no effect. An infinite value of answered means that
-    // no definite answer arrived, so the operation may or may not have taken effect.
-    double asked = 0;
-    double answered = 0;
+    // The true times of the request and of its answer, in seconds. A negative requested_at means
+    // that the operation was rejected and had no effect. An infinite answered_at means that no
+    // definite answer arrived, so the operation may or may not have taken effect.
+    double requested_at = 0;
+    double answered_at = 0;
 };
 
 // Returns whether a register allows some order of the operations in which each takes effect between
--- a/tools/planner_world/member_node.hpp
+++ b/tools/planner_world/member_node.hpp
@@ -29,7 +29,7 @@
     void set_alarm(bool raised, FencingToken token);
     // Handles a message that reached this member. Returns whether the invariants have to be
     // checked.
-    bool handle_message(double at, const wire::Word& message);
+    bool handle_message(double local_now, const wire::Word& message);
     // Returns the state that later events depend on, as text.
     std::string state() const;
 
@@ -52,15 +52,15 @@
   private:
     void send_request(wire::LeaseAsk::What kind, LeaseRequestId id, FencingToken token);
     void handle_alarm_answer(const wire::LeaseAnswer& answer, RegisterObservation& observation);
-    void handle_lease_answer(double at, const wire::LeaseAnswer& answer);
+    void handle_lease_answer(double local_now, const wire::LeaseAnswer& answer);
 
     PlannerWorld* world_;
-    int planner_;                                    // the planner that gets the requests; -1: any
+    int current_planner_;                            // the planner that gets the requests; -1: any
     std::map<LeaseRequestId, double> requested_at_;  // true time of each request
-    std::map<std::uint64_t, std::size_t> alarms_;    // index in the history by request number
+    std::map<std::uint64_t, std::size_t> alarm_requests_;  // index in the history by request number
     // The number of the last alarm request. Alarm requests are numbered from a start that is above
     // every number of the lease client.
-    std::uint64_t last_alarm_ = 1ULL << 32;
+    std::uint64_t last_alarm_request_ = 1ULL << 32;
 };
 
 }  // namespace tideline::simulation
--- a/tools/planner_world/planner_node.hpp
+++ b/tools/planner_world/planner_node.hpp
@@ -44,11 +44,11 @@
     void crash();
     // Handles a message that reached this planner, whose core must be running. Returns false if the
     // message was forwarded to the leader without involving the core.
-    bool handle_message(double at, int from, wire::Word& message);
+    bool handle_message(double local_now, int from, wire::Word& message);
     // Applies the pending writes to the disk, with the same result as the storage of the Raft log.
     void store_pending_writes();
     // Ends the batch of commands if the core has one open.
-    void end_batch_if_due(double at) const;
+    void end_batch_if_due(double local_now) const;
     // Returns the state that later events depend on, as text.
     std::string state() const;
 
@@ -56,15 +56,15 @@
     std::uint64_t disk = 1;  // the number of the disk; it increases with each wipe
     raft::PersistentState persistent_state;
     std::vector<raft::PersistRequest> pending_writes;
-    raft::PersistId last_write;
+    raft::PersistId last_persist_id;
     std::map<LeaseRequestId, OpenRequest> open_requests;
-    std::uint64_t last_request = 0;
-    std::uint64_t starts = 0;
+    std::uint64_t last_request_id = 0;
+    std::uint64_t start_count = 0;
     std::unique_ptr<planner::PlannerCore> planner_core;  // null while the planner is down
 
   private:
     void send_answer(LeaseRequestId id, wire::LeaseAnswer& answer);
-    bool handle_lease_request(double at, int from, wire::Word& message);
+    bool handle_lease_request(double local_now, int from, wire::Word& message);
     void apply_snapshot(const raft::PersistRequest& write);
 
     PlannerWorld* world_;
--- a/tools/replication_world/node.hpp
+++ b/tools/replication_world/node.hpp
@@ -31,7 +31,7 @@
         WriteNumber write;
         ShardId shard_id;
         std::optional<Record> record;
-        std::vector<Key> removed;
+        std::vector<Key> removed_keys;
         TableVersion table_version;
         bool clears_shard = false;
     };
@@ -51,10 +51,10 @@
     void complete_writes();
     bool has_pending_writes() const;
 
-    // Starts a client's request; `ends` is its deadline.
-    void submit(std::uint64_t operation, bool idempotent, Seconds ends);
+    // Starts a client's request.
+    void submit(std::uint64_t operation, bool idempotent, Seconds deadline);
     // Makes one attempt if the effect log clears it. The simulated member has no routing policy.
-    void attempt(RequestId id, ClientRequest& request);
+    void start_attempt(RequestId id, ClientRequest& request);
     // Handles the end of an attempt, which was answered or lost.
     void on_attempt_ended(const AttemptInFlight& attempt, AttemptOutcome outcome);
     // Returns the answer that every endpoint gives to the request with this key.
@@ -95,9 +95,9 @@
     // Returns the state that later events depend on, as text.
     std::string state() const;
     // Describes where this member has the record of the key, for the description of a violation.
-    std::string describe(const Key& key, const ReplicaTable& table) const;
+    std::string describe_record(const Key& key, const ReplicaTable& table) const;
     // Returns whether the record is on this member's disk, readable, and the table names that disk.
-    bool on_disk(const Key& key, const ReplicaTable& table) const;
+    bool has_record_on_disk(const Key& key, const ReplicaTable& table) const;
     std::uint64_t incarnation() const;
     std::size_t open_requests() const;
 
@@ -113,14 +113,14 @@
     ReplicationWorld* world_;
     const int index_;
     Disk disk_;
-    std::uint64_t starts_ = 0;
+    std::uint64_t start_count_ = 0;
     TableVersion table_version_;
     std::map<Key, std::pair<ShardId, Record>> stored_records_;
-    std::set<ShardId> corrupt_;
+    std::set<ShardId> corrupt_shards_;
     std::deque<PendingWrite> pending_writes_;
     WriteNumber last_write_;
     std::map<RequestId, ClientRequest> requests_;
-    std::uint64_t last_request_ = 0;
+    std::uint64_t last_request_id_ = 0;
     std::uint64_t incarnation_ = 0;
 };
 
