--- a/tools/mutation_tests/bite.py
+++ b/tools/mutation_tests/bite.py
@@ -20,7 +20,7 @@
 from detection import BuildError, Detection, detect
 
 ROOT = pathlib.Path(__file__).resolve().parents[2]
-COPIED = ("src", "tools", "tests", "CMakeLists.txt")
+COPIED_PATHS = ("src", "tools", "tests", "CMakeLists.txt")
 REPLICATION_FOLDER = "src/replication/"
 DEFAULT_SEEDS = 1500
 
@@ -238,7 +238,7 @@
 ]
 
 
-def misfit(guard: Guard) -> str | None:
+def mismatch_reason(guard: Guard) -> str | None:
     """Returns why the entry does not fit the sources; None if it fits."""
     path = ROOT / guard.file
     if not path.is_file():
@@ -251,13 +251,13 @@
 
 def check_entries(guards: list[Guard]) -> int:
     """Prints the entries that do not fit the sources; returns their number."""
-    misfits = 0
+    mismatch_count = 0
     for guard in guards:
-        reason = misfit(guard)
+        reason = mismatch_reason(guard)
         if reason is not None:
             print(f"{guard.name}: {reason}", flush=True)
-            misfits += 1
-    return misfits
+            mismatch_count += 1
+    return mismatch_count
 
 
 def test_guard(
@@ -290,7 +290,7 @@
     with tempfile.TemporaryDirectory(prefix="tideline-mutation-") as folder:
         tree, output = pathlib.Path(folder, "tree"), pathlib.Path(folder, "build")
         tree.mkdir()
-        for name in COPIED:
+        for name in COPIED_PATHS:
             source = ROOT / name
             (shutil.copytree if source.is_dir() else shutil.copy2)(source, tree / name)
         for guard in guards:
@@ -328,16 +328,17 @@
     """Returns the exit status."""
     arguments = parse_arguments()
     if arguments.check:
-        misfits = check_entries(GUARDS)
-        print(f"{len(GUARDS)} guards, {misfits} do not fit the sources")
-        return 1 if misfits else 0
+        mismatch_count = check_entries(GUARDS)
+        print(f"{len(GUARDS)} guards, {mismatch_count} do not fit the sources")
+        return 1 if mismatch_count else 0
     selected = [guard for guard in GUARDS[arguments.skip:]
                 if arguments.only in guard.name or arguments.only in guard.file]
-    misfits = check_entries(selected)
-    fitting = [guard for guard in selected if misfit(guard) is None]
+    mismatch_count = check_entries(selected)
+    fitting = [guard for guard in selected if mismatch_reason(guard) is None]
     undetected = test_guards(fitting, arguments.seeds, arguments.verbose)
-    print(f"{len(selected)} guards, {undetected} not detected, {misfits} do not fit the sources")
-    return 1 if undetected or misfits else 0
+    print(f"{len(selected)} guards, {undetected} not detected, "
+          f"{mismatch_count} do not fit the sources")
+    return 1 if undetected or mismatch_count else 0
 
 
 if __name__ == "__main__":
--- a/tools/mutation_tests/detection.py
+++ b/tools/mutation_tests/detection.py
@@ -25,17 +25,18 @@
     """A mutated copy does not build. The message is the end of the build's output."""
 
 
-def run(*command, **options) -> subprocess.CompletedProcess:
+def run_command(*command, **options) -> subprocess.CompletedProcess:
     """Executes a command. Its output and its error output are captured as one text."""
     return subprocess.run(
         command, stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True, **options)
 
 
-def build(tree: pathlib.Path, output: pathlib.Path, *targets: str) -> None:
-    """Builds the targets, in Release mode; raises BuildError if the build fails."""
-    if not (output / "CMakeCache.txt").exists():
-        run("cmake", "-S", tree, "-B", output, "-DCMAKE_BUILD_TYPE=Release", check=True)
-    result = run("cmake", "--build", output, "-j", BUILD_JOBS, "--target", *targets)
+def build(tree: pathlib.Path, build_folder: pathlib.Path, *targets: str) -> None:
+    """Builds the targets in Release mode; raises BuildError if the build fails."""
+    if not (build_folder / "CMakeCache.txt").exists():
+        run_command(
+            "cmake", "-S", tree, "-B", build_folder, "-DCMAKE_BUILD_TYPE=Release", check=True)
+    result = run_command("cmake", "--build", build_folder, "-j", BUILD_JOBS, "--target", *targets)
     if result.returncode != 0:
         raise BuildError("\n".join(result.stdout.splitlines()[-BUILD_ERROR_LINES:]))
 
@@ -49,10 +50,11 @@
     return lines[start:end]
 
 
-def run_model_checker(output: pathlib.Path, replication: bool) -> Detection | None:
+def run_model_checker(build_folder: pathlib.Path, replication: bool) -> Detection | None:
     """Runs the model checker; if `replication` is set, only its scenarios of replication."""
     only = ["--only", "holders"] if replication else []
-    result = run(output / "tideline_model_checker", "--depth", "1", "--first-fault", *only)
+    result = run_command(
+        build_folder / "tideline_model_checker", "--depth", "1", "--first-fault", *only)
     if result.returncode == 0:
         return None
     return Detection("model checker", first_schedule(result.stdout.splitlines()))
@@ -61,39 +63,40 @@
 def simulations(replication: bool) -> list[tuple[str, list[str]]]:
     """Returns the label and the arguments of each run of the simulation."""
     if replication:
-        return [(f"{copies} replicas, {least} at least",
-                 ["holders", "--copies", copies, "--least", least])
-                for copies, least in REPLICATION_SIZES]
+        return [(f"{replicas} replicas, {min_replicas} at least",
+                 ["holders", "--copies", replicas, "--least", min_replicas])
+                for replicas, min_replicas in REPLICATION_SIZES]
     return [(f"{planners} planners, {members} members",
              ["leases", "--planners", planners, "--members", members])
             for planners, members in LEASE_SIZES]
 
 
-def run_simulation(output: pathlib.Path, seeds: int, replication: bool) -> Detection | None:
+def run_simulation(build_folder: pathlib.Path, seeds: int, replication: bool) -> Detection | None:
     """Runs the simulation, which injects faults by seed, on clusters of several sizes."""
     for label, arguments in simulations(replication):
-        result = run(output / "tideline_simulation", *arguments, "--seeds", str(seeds))
+        result = run_command(
+            build_folder / "tideline_simulation", *arguments, "--seeds", str(seeds))
         if result.returncode != 0:
             return Detection(f"simulation, {label}", result.stdout.splitlines()[:1])
     return None
 
 
 def run_unit_tests(
-        tree: pathlib.Path, output: pathlib.Path, replication: bool) -> Detection | None:
+        tree: pathlib.Path, build_folder: pathlib.Path, replication: bool) -> Detection | None:
     """Runs the module's unit tests, which cover cases that no simulated cluster reaches."""
     target = "tideline_replication_tests" if replication else "tideline_lease_tests"
-    build(tree, output, target)
-    result = run(output / target)
+    build(tree, build_folder, target)
+    result = run_command(build_folder / target)
     if result.returncode == 0:
         return None
     failed = [line for line in result.stdout.splitlines() if "FAILED" in line]
     return Detection("unit tests", failed[:1])
 
 
-def detect(tree: pathlib.Path, output: pathlib.Path, seeds: int,
+def detect(tree: pathlib.Path, build_folder: pathlib.Path, seeds: int,
            replication: bool) -> Detection | None:
     """Returns the first failure of the model checker, the simulation or the unit tests, if any."""
-    build(tree, output, "tideline_model_checker", "tideline_simulation")
-    return (run_model_checker(output, replication)
-            or run_simulation(output, seeds, replication)
-            or run_unit_tests(tree, output, replication))
+    build(tree, build_folder, "tideline_model_checker", "tideline_simulation")
+    return (run_model_checker(build_folder, replication)
+            or run_simulation(build_folder, seeds, replication)
+            or run_unit_tests(tree, build_folder, replication))
