--- a/tools/replication_world/node_callbacks.cpp
+++ b/tools/replication_world/node_callbacks.cpp
@@ -106,6 +106,7 @@
             "a request that is not idempotent and may have run was returned for another attempt");
     }
     it->second.attempts = std::max(it->second.attempts, static_cast<int>(earlier.size()));
+    // Bounds the attempts of one request, as the retry limit of a client does.
     if (it->second.attempts > 6) {
         effect_log->request_ended(world_->now_, request);
         return finish_request(request, RequestResult::failed);
--- a/tools/replication_world/world.cpp
+++ b/tools/replication_world/world.cpp
@@ -251,7 +251,7 @@
 }
 
 // Invariant: the record of each acknowledged key is on the disk of at least one replica in the
-// table that the planners agreed on.
+// table that the planners committed last.
 void ReplicationWorld::check_acknowledged() {
     for (const auto& entry : acknowledgements_) {
         const Key& key = entry.first;
--- a/tools/replication_world/world.hpp
+++ b/tools/replication_world/world.hpp
@@ -33,7 +33,7 @@
 };
 
 // The types of the messages in a world.
-constexpr char kTableMessage = 'T';         // from the planners: the table that they agreed on
+constexpr char kTableMessage = 'T';         // from the planners: the committed table
 constexpr char kTableRequestMessage = 'W';  // to the planners: a request for the table
 constexpr char kProposalMessage = 'P';      // to the planners: a proposed table
 constexpr char kRejectionMessage = 'R';     // from the planners: a proposal was rejected
@@ -100,7 +100,7 @@
     void report(int node, int repair_coordinator);
     // Lets the repair coordinator plan the shard table now.
     void plan(int repair_coordinator);
-    // Sets the table as if the planners had agreed on it and all members had received it.
+    // Sets the table as if the planners had committed it and all members had received it.
     void set_agreed_table(const replication::ReplicaTable& table);
     // Lets the node request the table from the planners, as each node does periodically.
     void request_table(int node);
@@ -146,7 +146,7 @@
     const replication::Replica* replica(int node) const;
     const replication::EffectLogClient* effect_log(int node) const;
     const replication::RepairCoordinator* repair_coordinator_of(int node) const;
-    // Returns the table that the planners agreed on last.
+    // Returns the table that the planners committed last.
     const replication::ReplicaTable& agreed() const {
         return agreed_table_;
     }
