--- a/tools/model_checker/lease_model.cpp
+++ b/tools/model_checker/lease_model.cpp
@@ -21,10 +21,10 @@
     PlannerWorldSettings settings;
     settings.planners = kPlanners;
     settings.members = kMembers;
-    // Clocks far apart, so that a few steps of time show what the drift can do.
+    // A large clock drift, so that few time steps suffice to show its effects.
     settings.drift = 0.2;
     settings.planner_core.leases = {3, 0.2, 100, 100};
-    // Elections and a leader's messages happen when the search says so, in every order.
+    // The Raft timeouts never expire: elections and heartbeats are events of the search.
     settings.planner_core.raft = {1e9, 1e9, 2e9, max_entries_per_message, false};
     settings.lease_client = {100, 100, 100};
     return settings;
@@ -36,7 +36,7 @@
                               : fmt::format("m{}", node);
 }
 
-// Describes a Raft message; empty if there is none.
+// Describes a Raft message. Returns an empty string if the message holds none.
 std::string describe_raft_message(const wire::Planning& planning) {
     const std::string term = fmt::format(" in reign {}", planning.reign());
     if (planning.has_vote_ask()) {
@@ -64,7 +64,8 @@
     return {};
 }
 
-// Describes a message; the texts identify the events of a schedule.
+// Describes a message. The descriptions identify the delivery events in the setups of the scenarios
+// and in replayed schedules.
 std::string describe(const PlannerWorldMessage& message) {
     wire::Word envelope;
     envelope.ParseFromString(message.bytes);
@@ -86,7 +87,7 @@
     return fmt::format("your turn, fence {}", envelope.turn().fence());
 }
 
-// The planners and members with the messages between them.
+// The planners, the members and the messages between them.
 class LeaseModel
     : public MessageModel<LeaseModel, PlannerWorld, PlannerWorldMessage, LeaseEventLimits> {
   public:
@@ -125,7 +126,7 @@
             world.tick(i);
         }
     }
-    // A message to any planner may reach each leader.
+    // A message addressed to any planner may be delivered to each planner that is a leader.
     void add_deliveries(Events& events) const {
         for (const PlannerWorldMessage* message : distinct_messages()) {
             for (int to = 0; to < world.nodes(); ++to) {
@@ -168,7 +169,7 @@
             });
         }
     }
-    // The events of a planner that is down.
+    // Adds the events of a planner that is down.
     void add_start_events(Events& events, int planner) const {
         const std::string name = name_of(planner);
         add_event(events, name + " starts",
@@ -206,6 +207,7 @@
     }
 };
 
+// Enough events for each setup and for a replayed schedule.
 const LeaseEventLimits kSetupLimits{9, 9, 9, 9, 9, 0, 9, 3};
 
 }  // namespace
@@ -218,7 +220,7 @@
 bool replay(const std::string& path, std::size_t max_entries_per_message) {
     std::ifstream file(path);
     if (!file) {
-        throw std::runtime_error("can't read " + path);
+        throw std::runtime_error("cannot read the schedule file " + path);
     }
     Search<LeaseModel> search(0);
     LeaseModel model(max_entries_per_message);
--- a/tools/model_checker/lease_scenarios.cpp
+++ b/tools/model_checker/lease_scenarios.cpp
@@ -7,8 +7,9 @@
 namespace tideline::model_checker {
 namespace {
 
-// Figure 8 of the Raft paper, in a world of three: an entry of term 2 comes to a majority under
-// term 4, and a log with one of term 3 in its place wins term 5.
+// Figure 8 of the Raft paper with three planners: the leader of term 4 replicates an entry of term
+// 2 to a majority, and a planner whose log has an entry of term 3 at the same index is elected in
+// term 5.
 std::vector<std::string> overwritten_entry_setup() {
     return {"p1 stands",
             "p1 has stored",
@@ -60,22 +61,22 @@
             "p2 to p3: tells 1 records from 3, committed 1, round 1 in reign 5"};
 }
 
-// The setup followed by more events.
+// Returns the setup with more events appended.
 std::vector<std::string> append_events(std::vector<std::string> setup,
                                        const std::vector<std::string>& more) {
     setup.insert(setup.end(), more.begin(), more.end());
     return setup;
 }
 
-// p1 leads.
+// p1 is the leader.
 const std::vector<std::string> kLeaderElected{"p1 stands", "settle"};
 
-// p1 leads, m3 holds the lease and m4 waits.
+// p1 is the leader, m3 holds the lease and m4 waits for it.
 std::vector<std::string> lease_held_setup() {
     return append_events(kLeaderElected, {"m3 wants it", "settle", "m4 wants it", "settle"});
 }
 
-// Elections, grants and renewals.
+// Scenarios of elections, grants and renewals.
 std::vector<LeaseScenario> grant_scenarios() {
     const auto held = lease_held_setup();
     return {
@@ -106,7 +107,7 @@
     };
 }
 
-// What crashes, late messages and stalled members lead to.
+// Scenarios with crashes, late messages and stalled members.
 std::vector<LeaseScenario> recovery_scenarios() {
     const auto held = lease_held_setup();
     const std::vector<std::string> four_time_steps(4, "a step of time");
--- a/tools/model_checker/message_model.hpp
+++ b/tools/model_checker/message_model.hpp
@@ -1,5 +1,5 @@
-// What the models of worlds with messages have in common: the messages in flight, which arrive in
-// any order, twice or never.
+// Base class of the models whose nodes exchange messages. It holds the messages in flight, which
+// may arrive in any order, twice or never.
 #pragma once
 
 #include <fmt/format.h>
@@ -14,14 +14,14 @@
 
 namespace tideline::model_checker {
 
-// The base of a model. Model: the derived class; SimulatedWorld: the simulated world; Limits: how
-// often each kind of event that is not a message may still happen.
+// Model is the derived class, SimulatedWorld the simulated nodes, and Limits how often each kind of
+// event that is not a delivery may still happen.
 template <class Model, class SimulatedWorld, class Message, class Limits>
 class MessageModel {
   public:
     explicit MessageModel(const SimulatedWorld& simulated_world) : world(simulated_world) {}
 
-    // Takes the messages that were sent in the world since the last call.
+    // Moves the messages that the nodes have sent since the last call into in_flight.
     void collect_sent_messages() {
         for (Message& message : world.take_sent()) {
             in_flight.insert(std::move(message));
@@ -39,14 +39,15 @@
     using Events = std::vector<Event<Model>>;
     using Action = std::function<void(Model&)>;
 
-    // Adds an event; what the action sends is in flight afterwards.
+    // Adds an event. After its action, the messages that the action sent are in flight.
     static void add_event(Events& events, std::string text, Action action) {
         events.push_back({std::move(text), [action = std::move(action)](Model& model) {
                               action(model);
                               model.collect_sent_messages();
                           }});
     }
-    // Adds the delivery of a message to a node, and its delivery with a copy that stays in flight.
+    // Adds two events: the delivery of a message to a node, and a delivery that leaves a copy of
+    // the message in flight.
     void add_delivery(Events& events, const std::string& text, const Message& message,
                       int to) const {
         add_event(events, text, [message, to](Model& model) {
@@ -60,7 +61,7 @@
             });
         }
     }
-    // The messages in flight without repetitions, in their order.
+    // Returns the messages in flight, sorted and without duplicates.
     std::vector<const Message*> distinct_messages() const {
         std::vector<const Message*> messages;
         for (const Message& message : in_flight) {
--- a/tools/simulation/cluster_measurement.cpp
+++ b/tools/simulation/cluster_measurement.cpp
@@ -19,7 +19,7 @@
 constexpr Seconds kErrorWindow = 60;
 constexpr Seconds kDetectionTimeout = 300;
 
-// The figures of one seed; those without a unit are per member.
+// The figures of one seed. Message, byte and error figures are per member.
 struct MembershipFigures {
     double messages_per_second = 0;
     double bytes_per_second = 0;
@@ -49,7 +49,7 @@
     return true;
 }
 
-// How long it takes until all others have the victim as present, or as gone.
+// Returns how long it takes until all other members see the victim as present, or as gone.
 Seconds time_until_known(SimulatedCluster& cluster, int victim, bool present) {
     const Seconds start = cluster.now();
     for (bool known = false; !known && cluster.now() < start + kDetectionTimeout;) {
@@ -76,7 +76,7 @@
     figures.return_detection_time = time_until_known(cluster, victim, true);
 }
 
-// Wrong suspicions are counted at every member that takes them up.
+// Counts false suspicions, once for each member that learns of one.
 void measure_errors(const ClusterSimulationSettings& settings, double& suspected, double& gone) {
     SimulatedCluster cluster(settings);
     cluster.run(cluster.now() + kWarmUpDuration);
--- a/tools/simulation/cluster_simulation.cpp
+++ b/tools/simulation/cluster_simulation.cpp
@@ -11,8 +11,8 @@
 namespace tideline::simulation {
 namespace {
 
-// The size in bytes of a frame with a ping of so many entries, as the production codec makes it. At
-// most 64 entries fit into one message.
+// Returns the size in bytes of a frame with a ping that has this number of gossip entries, as the
+// production codec encodes it. One message holds at most 64 entries.
 double bytes_of(std::size_t entries) {
     static const std::vector<double> bytes_by_entries = [] {
         std::vector<double> bytes;
@@ -165,7 +165,7 @@
         return;
     }
     node->paused_since = -1;
-    // As in the event loop, the messages that came are handled in their order before timers.
+    // As in the event loop, deferred messages are handled in their order before timers.
     std::vector<std::function<void(Node&)>> deferred_calls;
     std::swap(deferred_calls, node->deferred_calls);
     for (auto& call : deferred_calls) {
--- a/tools/simulation/driver.hpp
+++ b/tools/simulation/driver.hpp
@@ -1,5 +1,5 @@
-// Drives a world of several nodes in virtual time: when messages arrive, writes complete and nodes
-// run, drawn from a seed.
+// Drives several simulated nodes in virtual time. When messages arrive, when writes complete and
+// when nodes execute is drawn from a seed.
 #pragma once
 
 #include <algorithm>
@@ -19,9 +19,10 @@
 
 namespace tideline::simulation {
 
-// Owns a world and its virtual time, in seconds. A world has nodes(), disks() (how many nodes, from
-// the first, have a disk), due, tick, take_sent, deliver, has_pending_writes, complete_writes,
-// crash, set_time and fault. A run ends early at the first fault of the world. Not thread-safe.
+// Owns the simulated nodes (World) and their virtual time, in seconds. World provides nodes(),
+// disks() (the number of nodes, counted from the first, that have a disk), due, tick, take_sent,
+// deliver, has_pending_writes, complete_writes, crash, set_time and fault. A run ends early at the
+// first violated invariant. Not thread-safe.
 template <class World>
 class Driver {
   public:
@@ -39,19 +40,20 @@
     Driver& operator=(const Driver&) = delete;
     ~Driver() = default;
 
-    // A uniform draw from [from, to).
+    // Draws a number from the uniform distribution over [from, to).
     double draw(double from, double to) {
         return draw_uniform(random_, from, to);
     }
-    // A uniform draw from 0 to count - 1.
+    // Draws an integer from the uniform distribution over 0 to count - 1.
     int draw_below(int count) {
         return static_cast<int>(draw(0, count));
     }
-    // Plays the call at that time; of several at one time, in the order of the calls.
+    // Schedules a call. Calls that are due at the same time are executed in the order in which they
+    // were scheduled.
     void schedule(double when, std::function<void()> call) {
         scheduled_.push({when, ++order_, std::move(call)});
     }
-    // Plays everything up to that time.
+    // Executes all events up to that time.
     void run(double until) {
         while (world.fault().empty()) {
             const auto [node, due] = next_due_node();
@@ -83,14 +85,15 @@
     double now() const {
         return now_;
     }
-    // Sends what was sent in the world by calls from outside run().
+    // Dispatches the messages and writes that calls from outside run() have caused.
     void flush() {
         dispatch_sent();
     }
 
     // Faults.
 
-    // Pauses or resumes a node; what reaches it while paused is handled afterwards.
+    // Pauses or resumes a node. Messages and completed writes that reach it while it is paused are
+    // handled when it resumes.
     void set_paused(int node, bool paused) {
         const auto index = static_cast<std::size_t>(node);
         if (paused_[index] == paused) {
@@ -100,7 +103,7 @@
         if (paused) {
             return;
         }
-        // The messages that came are handled before timers.
+        // Deferred messages are handled before timers.
         for (auto& call : std::exchange(deferred_calls_[index], {})) {
             call();
         }
@@ -112,7 +115,7 @@
         paused_[static_cast<std::size_t>(node)] = false;
         deferred_calls_[static_cast<std::size_t>(node)].clear();
     }
-    // Whether most messages from one node to the other are lost and the rest come late.
+    // Sets whether most messages from one node to the other are lost and the rest arrive late.
     void set_cut(int from, int to, bool is_cut) {
         if (is_cut) {
             cuts_.insert({from, to});
@@ -120,7 +123,7 @@
             cuts_.erase({from, to});
         }
     }
-    // Cuts the nodes into two sides; each node is on the first side with this probability.
+    // Partitions the network into two sides. Each node is on the first side with this probability.
     void split_network(double share) {
         std::vector<bool> side;
         for (int i = 0; i < world.nodes(); ++i) {
@@ -134,18 +137,17 @@
             }
         }
     }
-    // Ends all cuts.
     void heal_cuts() {
         cuts_.clear();
     }
     bool is_cut(int from, int to) const {
         return cuts_.contains({from, to});
     }
-    // Adds to the time that each message from or to the node takes.
+    // Sets the delay that is added to the transit time of each message from or to the node.
     void set_delay(int node, double by) {
         delays_[static_cast<std::size_t>(node)] = by;
     }
-    // Each write of the node takes up to `by` seconds longer.
+    // Sets by how many seconds, at most, each write of the node takes longer.
     void set_disk_delay(int node, double by) {
         disk_delays_[static_cast<std::size_t>(node)] = by;
     }
@@ -155,8 +157,8 @@
 
     World world;
     std::uint64_t steps = 0;
-    std::map<int, double> messages_by_node;  // that it sent or got
-    std::map<int, double> bytes_by_node;     // that it sent
+    std::map<int, double> messages_by_node;  // that a node sent or received
+    std::map<int, double> bytes_by_node;     // that a node sent
 
   private:
     struct ScheduledEvent {
@@ -167,7 +169,8 @@
             return std::tie(due, order) > std::tie(other.due, other.order);
         }
     };
-    // The running node that has something to do first, and when; -1 and infinity: none.
+    // Returns the node that is due first, of those that are not paused, and when; -1 and infinity
+    // if none is.
     std::pair<int, double> next_due_node() const {
         std::pair<int, double> next{-1, std::numeric_limits<double>::infinity()};
         for (int i = 0; i < world.nodes(); ++i) {
@@ -180,7 +183,7 @@
         }
         return next;
     }
-    // Plays the call now, or when the node resumes.
+    // Executes the call now, or when the node resumes.
     void run_when_resumed(int node, std::function<void()> call) {
         if (paused_[static_cast<std::size_t>(node)]) {
             deferred_calls_[static_cast<std::size_t>(node)].push_back(std::move(call));
@@ -188,7 +191,7 @@
             call();
         }
     }
-    // Schedules the arrival of the messages that were sent, and the end of the writes.
+    // Schedules the arrival of the messages that were sent and the completion of the writes.
     void dispatch_sent() {
         for (auto& sent : world.take_sent()) {
             dispatch(std::move(sent));
--- a/tools/simulation/lease_faults.hpp
+++ b/tools/simulation/lease_faults.hpp
@@ -1,4 +1,4 @@
-// Random faults of a world of planners and members.
+// Injects random faults into simulated planners and members.
 #pragma once
 
 #include <functional>
@@ -8,11 +8,11 @@
 
 namespace tideline::simulation {
 
-// Injects faults at drawn times until the end of the fault phase and repairs each of them later.
+// Injects faults at random times until the end of the fault phase and repairs each of them later.
 // The driver must outlive this object, and this object the events that it schedules.
 class LeaseFaults {
   public:
-    // `end`: the virtual time after which no fault is injected.
+    // No fault is injected after the virtual time `end`.
     LeaseFaults(LeaseDriver& driver, double end, bool verbose);
     // Injects one fault and schedules the next.
     void inject();
@@ -42,7 +42,7 @@
     const double start_;
     const double end_;
     const bool verbose_;
-    int wiped_planner_ = -1;  // a planner that lost its disk and is not a voter yet; -1: none
+    int wiped_planner_ = -1;  // planner with a wiped disk that is not a voter yet; -1: none
 };
 
 }  // namespace tideline::simulation
--- a/tools/simulation/replication_driver.hpp
+++ b/tools/simulation/replication_driver.hpp
@@ -1,4 +1,4 @@
-// Drives a world of members that replicate for each other in virtual time.
+// Drives simulated members that replicate for each other in virtual time.
 #pragma once
 
 #include <cstdint>
@@ -10,32 +10,31 @@
 
 namespace tideline::simulation {
 
-// A driver that also stands in for the membership, for the lease of the repair coordinator and for
-// the clients.
+// A driver that also simulates the membership, the lease of the repair coordinator and the clients.
 class ReplicationDriver : public Driver<ReplicationWorld> {
   public:
     ReplicationDriver(const ReplicationSimulationOptions& options, std::uint32_t seed);
 
-    // Schedules the membership, the lease and, 6 s later, the clients' requests.
+    // Schedules the membership, the lease and, 6 s later, the requests of the clients.
     void start();
-    // Virtual time since start, in seconds.
+    // Returns the virtual time since start(), in seconds.
     double elapsed() const {
         return now() - start_;
     }
     int draw_member() {
         return draw_below(members_);
     }
-    // Lets the clients submit no further requests.
+    // Makes the clients submit no further requests.
     void end_requests() {
         requests_ended_at_ = now();
     }
-    // The member that has the lease of the repair coordinator; -1: none yet.
+    // Returns the member that has the lease of the repair coordinator; -1 if none has had it yet.
     int repair_coordinator() const {
         return repair_coordinator_;
     }
-    // The member that has most replicas, except the repair coordinator.
+    // Returns the member with the most replicas, except the repair coordinator.
     int fullest_member() const;
-    // Whether all shards have their replicas at members that are up, whichever member was lost.
+    // Returns whether all shards have all their replicas at members that are up.
     bool is_replicated_on_live_members() const;
 
     std::uint64_t submitted = 0;   // requests
@@ -61,7 +60,7 @@
     double requests_ended_at_ = 0;  // 0: not ended
     int repair_coordinator_ = -1;
     std::vector<double> last_heard_;                // [by][of]
-    std::vector<std::uint64_t> recent_operations_;  // that clients may repeat
+    std::vector<std::uint64_t> recent_operations_;  // operations that clients may repeat
     std::uint64_t last_operation_ = 0;
     replication::TableVersion logged_version_;
 };
--- a/tools/simulation/replication_faults.cpp
+++ b/tools/simulation/replication_faults.cpp
@@ -9,7 +9,7 @@
 namespace tideline::simulation {
 namespace {
 
-constexpr std::uint32_t kCorruptibleShards = 8;  // the first shards, that a corrupt disk may lose
+constexpr std::uint32_t kCorruptibleShards = 8;  // only the first shards get corrupted
 
 }  // namespace
 
@@ -79,8 +79,8 @@
                     [this, member] { world_.start(member); });
 }
 
-// Machines are lost with their disks, as many at once as the replicas allow, and only once repair
-// is done.
+// Wipes the disks of machines. As many are lost at once as the replicas allow, and only while all
+// shards are fully replicated.
 void ReplicationFaults::lose_machines() {
     const int min_replicas = options_.min_replicas > 0 ? options_.min_replicas : options_.replicas;
     if (!world_.fully_replicated() || min_replicas - 1 < 1) {
@@ -97,7 +97,8 @@
     }
 }
 
-// All members in one place, and others as long as replicas remain.
+// Draws the machines to lose: all members in one place, and sometimes members in other places, as
+// long as the lost places leave one replica.
 std::vector<int> ReplicationFaults::draw_lost_machines() {
     const int min_replicas = options_.min_replicas > 0 ? options_.min_replicas : options_.replicas;
     const int max_lost = min_replicas - 1;
@@ -122,9 +123,9 @@
 }
 
 void ReplicationFaults::pause_member(int member, double until) {
-    log(fmt::format("stop n{}", member + 1));
+    log(fmt::format("pause n{}", member + 1));
     driver_.set_paused(member, true);
-    log_and_call_at(until, fmt::format("go n{}", member + 1),
+    log_and_call_at(until, fmt::format("resume n{}", member + 1),
                     [this, member] { driver_.set_paused(member, false); });
 }
 
@@ -163,12 +164,12 @@
     });
 }
 
-// Only once repair is done, so that another replica is left.
+// Corrupts shards only while all shards are fully replicated, so that another replica is left.
 void ReplicationFaults::corrupt_disk(int member) {
     if (!world_.fully_replicated() || options_.replicas < 2) {
         return;
     }
-    log(fmt::format("rot at n{}", member + 1));
+    log(fmt::format("corrupt the disk of n{}", member + 1));
     driver_.kill(member);
     ++driver_.lost_disks;
     for (std::uint32_t i = 0; i < kCorruptibleShards; ++i) {
@@ -180,7 +181,7 @@
 }
 
 void ReplicationFaults::restart_all_in_turn() {
-    log("restart of all, one by one");
+    log("restart all members one after the other");
     for (int i = 0; i < options_.members; ++i) {
         driver_.schedule(driver_.now() + 0.8 * i, [this, i] {
             driver_.kill(i);
--- a/tools/simulation/replication_faults.hpp
+++ b/tools/simulation/replication_faults.hpp
@@ -1,4 +1,4 @@
-// Random faults of a world of members that replicate for each other.
+// Injects random faults into simulated members that replicate for each other.
 #pragma once
 
 #include <functional>
@@ -9,11 +9,11 @@
 
 namespace tideline::simulation {
 
-// Injects faults at drawn times until the end of the fault phase and repairs each of them later.
+// Injects faults at random times until the end of the fault phase and repairs each of them later.
 // The driver must outlive this object, and this object the events that it schedules.
 class ReplicationFaults {
   public:
-    // `end`: the time since the driver's start after which no fault is injected.
+    // No fault is injected later than `end` seconds after the start of the driver.
     ReplicationFaults(ReplicationDriver& driver, const ReplicationSimulationOptions& options,
                       double end);
     // Injects one fault and schedules the next.
--- a/tools/simulation/seeds.hpp
+++ b/tools/simulation/seeds.hpp
@@ -1,4 +1,4 @@
-// Batches of many seeds, and the spread of their figures.
+// Executes batches of seeds and aggregates their figures.
 #pragma once
 
 #include <fmt/format.h>
@@ -12,8 +12,8 @@
 
 namespace tideline::simulation {
 
-// Calls `call` with each seed, on as many threads as the machine has cores; the calls must guard
-// what they share. Returns once all are done.
+// Calls `call` with each seed, in as many threads as the machine has cores. The calls must guard
+// the data that they share. Returns once all calls have returned.
 template <class Call>
 void for_each_seed(std::uint32_t first, int seeds, Call call) {
     std::atomic<int> next{0};
@@ -33,18 +33,18 @@
 // Samples of one figure.
 struct Spread {
     std::vector<double> values;
-    // The quantile, from 0 to 1; there must be a value.
+    // Returns a quantile; `fraction` is from 0 to 1. There must be at least one value.
     double quantile(double fraction) {
         std::sort(values.begin(), values.end());
         return values[static_cast<std::size_t>(fraction * static_cast<double>(values.size() - 1))];
     }
-    // "median (worst)"
+    // Formats the spread as "median (worst)".
     std::string text() {
         return values.empty() ? "-" : fmt::format("{:.1f} ({:.1f})", quantile(0.5), quantile(1));
     }
 };
 
-// The spread of one member of the structs, one of which belongs to each seed.
+// Collects one figure of all seeds.
 template <class Figures>
 Spread collect_spread(const std::vector<Figures>& all, double Figures::*figure) {
     Spread spread;
