--- a/tools/model_checker/version_audit_model.cpp
+++ b/tools/model_checker/version_audit_model.cpp
@@ -189,7 +189,7 @@
 void World::add_version_events(std::vector<Event<World>>& events, int member) const {
     const std::string name = name_of(member).value;
     if (core(member).own_list_rank() < revision) {
-        events.push_back({fmt::format("the list tells {}", name), [member](World& world) {
+        events.push_back({fmt::format("{} receives the list", name), [member](World& world) {
                               world.core(member).set_own_version(world.now, VersionPart::list,
                                                                  version_of(world.revision));
                           }});
@@ -198,14 +198,15 @@
         if (peer == member) {
             continue;
         }
-        events.push_back(
-            {fmt::format("{} hears {}", name, name_of(peer).value), [member, peer](World& world) {
-                 world.core(member).on_peer_version(
-                     world.now, name_of(peer), cluster::Incarnation{1},
-                     version_of(world.core(peer).own_list_rank()), kReleaseVersion);
-             }});
+        events.push_back({fmt::format("{} receives the version of {}", name, name_of(peer).value),
+                          [member, peer](World& world) {
+                              world.core(member).on_peer_version(
+                                  world.now, name_of(peer), cluster::Incarnation{1},
+                                  version_of(world.core(peer).own_list_rank()), kReleaseVersion);
+                          }});
     }
-    events.push_back({fmt::format("{} hears the liar", name), [member](World& world) {
+    events.push_back({fmt::format("{} receives the version of the Byzantine member", name),
+                      [member](World& world) {
                           world.core(member).on_peer_version(world.now, name_of(kHonestMembers),
                                                              cluster::Incarnation{1},
                                                              kForgedVersion, kReleaseVersion);
@@ -218,11 +219,12 @@
     const std::string name = name_of(member).value;
     for (int peer = 0; peer < kHonestMembers; ++peer) {
         events.push_back(
-            {fmt::format("the liar tells {} that {} is out", name, name_of(peer).value),
+            {fmt::format("the Byzantine member tells {} that {} is excluded", name,
+                         name_of(peer).value),
              [member, peer](World& world) { world.notify_exclusion(member, peer, true); }});
     }
     for (const auto& [peer, excluded] : exclusions) {
-        events.push_back({fmt::format("{} is told that {} is {}", name, name_of(peer).value,
+        events.push_back({fmt::format("{} receives gossip that {} is {}", name, name_of(peer).value,
                                       excluded ? "out" : "in"),
                           [member, peer = peer, excluded = excluded](World& world) {
                               world.notify_exclusion(member, peer, excluded);
@@ -300,11 +302,12 @@
 // The setups: the initial state; a lags and knows it; c lags and b knows it.
 const std::vector<std::vector<std::string>> kSetups = {
     {},
-    {"the list changes", "the list tells b", "the list tells c", "a hears b", "a hears c",
-     "a second passes"},
-    {"the list changes", "the list tells a", "the list tells b", "b hears a", "b hears c",
-     "a hears c", "a second passes", "a second passes", "b hears c", "a hears c",
-     "a second passes"}};
+    {"the list changes", "b receives the list", "c receives the list",
+     "a receives the version of b", "a receives the version of c", "a second passes"},
+    {"the list changes", "a receives the list", "b receives the list",
+     "b receives the version of a", "b receives the version of c", "a receives the version of c",
+     "a second passes", "a second passes", "b receives the version of c",
+     "a receives the version of c", "a second passes"}};
 
 }  // namespace
 
