--- a/tests/fault_scenarios.sh
+++ b/tests/fault_scenarios.sh
@@ -1,7 +1,8 @@
 #!/bin/bash
-# Each fixed scenario of the fault tests is a test of its own: the names that CMake has are all that the program
-# has, and an unknown name or seed is one line and a failure. Arguments: the fault tests' program, the sidecar's,
-# the kind's option or "", and the names.
+# CMake registers each fixed scenario of the fault tests as a test of its own. Checks that CMake names all scenarios
+# that the program has, and that an unknown scenario or an invalid seed ends the program with a one-line error.
+# Arguments: the program of the fault tests, the program of the sidecar, the option of the kind of test ("" for none),
+# and the names of the scenarios.
 set -uo pipefail
 fault_tests=$1
 sidecar=$2
@@ -14,7 +15,7 @@
     echo "CMakeLists.txt (<) does not name the scenarios that the program has (>)"
     failures=$((failures + 1))
 fi
-# refused TEXT ARGUMENTS: ends with a failure, and with one line that has the text
+# refused TEXT ARGUMENTS...: checks that the program fails and prints one line, which contains TEXT
 refused() {
     text=$1
     shift
--- a/tests/planner_reload.sh
+++ b/tests/planner_reload.sh
@@ -1,5 +1,6 @@
 #!/bin/bash
-# A planner that gets SIGHUP says whether its configuration needs a restart, and goes on. The argument is the program.
+# Checks that a planner that gets SIGHUP logs whether a change of its configuration file needs a restart, and goes on
+# running even if the file is invalid. Argument: the program.
 set -uo pipefail
 program=$1
 folder=$(mktemp -d)
@@ -15,7 +16,7 @@
 planner=$!
 trap 'kill $planner 2>/dev/null; wait $planner 2>/dev/null; rm -rf "$folder"' EXIT
 
-# expect COUNT TEXT: so many lines with the text come within 10 s
+# expect COUNT TEXT: waits up to 10 s until at least COUNT lines of the log contain TEXT
 expect() {
     for _ in $(seq 100); do
         [ "$(grep -cF -- "$2" "$folder/log")" -ge "$1" ] && return
--- a/tools/fault_tests/check.cpp
+++ b/tools/fault_tests/check.cpp
@@ -14,15 +14,22 @@
 
 using namespace fakes;
 
-// Allowances of the check, each for what lies between a fact and the record of it.
-constexpr Seconds kRestartTimeout = 1;   // s: a process that was started serves by then
-constexpr Seconds kShutdownGrace = 0.6;  // s: after SIGTERM requests are still taken
-constexpr Seconds kInFlightTolerance =
-    0.15;  // s: an attempt on its way when its sidecar changed participation
-constexpr Seconds kExposureWindow = 2;    // s: of exposure, as in the settings
-constexpr Seconds kCapUpdateDelay = 0.8;  // s: drain grace, and until sidecars have a lower cap
-constexpr double kExposureAllowance = 2;  // dispatches, as in the settings
-constexpr Seconds kCutEffectDelay = 0.5;  // s: what was on its way when a link was cut
+// Tolerances of the checks. Each covers the time between an event and its entry in the record.
+// A started process serves requests within this time.
+constexpr Seconds kRestartTimeout = 1;
+// After SIGTERM a sidecar still accepts requests for this time.
+constexpr Seconds kShutdownGrace = 0.6;
+// An attempt that was in flight when its sidecar changed its participation arrives within this
+// time.
+constexpr Seconds kInFlightTolerance = 0.15;
+// The window over which exposure is counted; the same value as in the sidecars' settings.
+constexpr Seconds kExposureWindow = 2;
+// The drain grace period plus the time until all sidecars know of a lower cap.
+constexpr Seconds kCapUpdateDelay = 0.8;
+// Dispatches beyond the cap that the sidecars' settings allow.
+constexpr double kExposureAllowance = 2;
+// Messages that were in flight when a link was cut are processed within this time.
+constexpr Seconds kCutEffectDelay = 0.5;
 
 bool was_up_throughout(const SidecarCluster::Member& member, Seconds from, Seconds to) {
     return std::any_of(member.up_intervals.begin(), member.up_intervals.end(),
@@ -55,7 +62,7 @@
         const std::string event = "trial participation changed: value='";
         const auto at = line.find(event);
         if (at == std::string::npos) {
-            // A new incarnation begins open.
+            // A restarted member takes part in the trial until its log says otherwise.
             if (line.find(" cluster member started: ") != std::string::npos) {
                 participation.push_back({std::stod(line), "open"});
             }
@@ -70,7 +77,7 @@
 
 namespace {
 
-// One final answer each, before its time limit, from every sidecar that was there throughout.
+// Each request gets exactly one answer, within its time limit, if its sidecar was up throughout.
 void check_answers(const SidecarCluster& cluster, Violations& violations) {
     const int count = cluster.options.members;
     for (int i = 1; i <= count; ++i) {
@@ -97,10 +104,10 @@
     }
 }
 
-// Times of dispatches to the trial build, in their order, by the member that sent them.
+// The times of dispatches to the trial build, sorted, by the member that sent them.
 using TrialDispatches = std::map<int, std::vector<Seconds>>;
 
-// No effect of a charge twice. Returns what reached the trial.
+// No charge takes effect twice. Returns the dispatches that reached the trial build.
 TrialDispatches check_effects(const SidecarCluster& cluster, Violations& violations) {
     std::map<std::string, int> charges;
     TrialDispatches trial;
@@ -120,7 +127,7 @@
     return trial;
 }
 
-// When the build was released, from when on it is no trial.
+// The time at which the build was released; from then on it is not on trial.
 Seconds release_time(const SidecarCluster& cluster) {
     for (const auto& [at, cap] : cluster.caps) {
         if (cap > 1) {
@@ -130,7 +137,7 @@
     return 1e18;
 }
 
-// Nothing goes to the trial from a member that does not take part in it.
+// A member that does not take part in the trial sends no requests to the trial build.
 void check_participation(const SidecarCluster& cluster, int i, const std::vector<Seconds>& times,
                          Violations& violations) {
     const Seconds open_until = release_time(cluster);
@@ -150,12 +157,14 @@
     }
 }
 
-// The highest cap that a member may have acted on at `now`: what it was notified of, or what is now
-// lower, but was the highest of late. A muted one acts on what it was told last: any cap so far.
+// The highest cap that a member may have applied at `now`: the cap it was notified of, or a higher
+// one that was in force during the window. A member whose inputs were muted applies the last cap it
+// received, which can be any earlier one.
 double highest_cap(const SidecarCluster& cluster, const SidecarCluster::Member& member,
                    Seconds now) {
     const Seconds from = now - kExposureWindow;
-    double highest = cluster.platform.caps.front();  // of a build not yet announced
+    // The cap of a build that has not been announced.
+    double highest = cluster.platform.caps.front();
     for (const auto& [at, cap] : cluster.caps) {
         if (at <= from - kCapUpdateDelay) {
             highest = cap;
@@ -174,7 +183,7 @@
     return highest;
 }
 
-// Exposure to the trial stays within the cap, in each window that ends with a dispatch.
+// Exposure to the trial stays within the cap in each window that ends with a dispatch.
 void check_exposure(const SidecarCluster& cluster, int i, const std::vector<Seconds>& times,
                     Violations& violations) {
     const SidecarCluster::Member& member = cluster.members[static_cast<std::size_t>(i)];
@@ -201,7 +210,8 @@
     }
 }
 
-// The audit never shows as current who can't be reached, and never more shut out than the bound.
+// An audit never shows an unreachable member as current or behind, and never shows more members as
+// excluded than the limit allows.
 void check_audits(const SidecarCluster& cluster, Violations& violations) {
     const int count = cluster.options.members;
     const auto bound = static_cast<int>(std::floor(kMaxExcludedShare * count));
--- a/tools/fault_tests/check.hpp
+++ b/tools/fault_tests/check.hpp
@@ -1,4 +1,4 @@
-// The check of the whole record of a sidecar cluster.
+// Checks the complete record of a fault test with a sidecar cluster.
 #pragma once
 
 #include <string>
@@ -8,15 +8,15 @@
 
 namespace tideline::fault_tests {
 
-// Each rule that did not hold, as a line; empty where all held.
+// Returns one line for each violated rule; empty if none was violated.
 std::vector<std::string> violations_of(const SidecarCluster& cluster);
 
-// A change of a member's participation in the trial, from its own log.
+// A change of a member's participation in the trial, as its log reports it.
 struct TrialParticipation {
     Seconds at = 0;
     std::string value;
 };
-// All changes in their order; a restart begins open.
+// Returns all changes in order. After a restart a member takes part ("open").
 std::vector<TrialParticipation> trial_participation_of(const SidecarCluster& cluster, int member);
 
 }  // namespace tideline::fault_tests
--- a/tools/fault_tests/command_line.cpp
+++ b/tools/fault_tests/command_line.cpp
@@ -77,7 +77,7 @@
         exit_status = app.exit(error);
         return false;
     }
-    // The lease holder and the faulty disk are built into the folder of this program.
+    // The lease holder and the library with disk faults are built into the folder of this program.
     const auto program_folder = std::filesystem::path(argv[0]).parent_path();
     command_line.planners.program = command_line.sidecars.program;
     command_line.planners.holder = (program_folder / "tideline_lease_holder").string();
--- a/tools/fault_tests/faulty_disk.cpp
+++ b/tools/fault_tests/faulty_disk.cpp
@@ -1,9 +1,10 @@
-// Loaded into a process by the fault tests (LD_PRELOAD): faults of its disk and clock while the
-// file named by TIDELINE_BADDISK contains one of
-//   fsync  every fsync fails with EIO
-//   full   every write fails with ENOSPC
-//   back   the time of day is an hour earlier
-// At its end it writes the number of its fsyncs to the file named by TIDELINE_FSYNCS.
+// A library that the fault tests preload into a process (LD_PRELOAD) to inject faults of its disk
+// and clock. A fault is active while the file named by TIDELINE_BADDISK contains its name:
+//   fsync  every fsync and fdatasync fails with EIO
+//   full   every pwrite fails with ENOSPC
+//   back   CLOCK_REALTIME is an hour behind
+// At exit the process writes the number of its fsync and fdatasync calls to the file named by
+// TIDELINE_FSYNCS.
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <sys/types.h>
@@ -19,7 +20,7 @@
 
 long fsync_count = 0;
 
-// Whether this fault is set now.
+// Whether the file names this fault now.
 bool is_fault_active(const char* fault) {
     static const char* const path = std::getenv("TIDELINE_BADDISK");
     if (!path) {
@@ -34,7 +35,7 @@
     ::close(fd);
     return size > 0 && std::strncmp(text, fault, std::strlen(fault)) == 0;
 }
-// The function that this library replaces.
+// Finds the libc function that this library replaces.
 template <class Function>
 Function find_replaced_function(const char* name) {
     return reinterpret_cast<Function>(::dlsym(RTLD_NEXT, name));
--- a/tools/fault_tests/fleet.hpp
+++ b/tools/fault_tests/fleet.hpp
@@ -1,4 +1,4 @@
-// Sidecars with planners: one member does each leased task for all.
+// A fleet of sidecars with planners. For each leased task the planners grant one member the lease.
 #pragma once
 
 #include "fault_tests/planner_cluster.hpp"
@@ -6,10 +6,10 @@
 
 namespace tideline::fault_tests {
 
-// Three planners without lease holders, and a sidecar cluster that uses them; what did not hold,
-// and what was measured.
+// Three planners and a sidecar cluster that uses them, without separate lease holders; collects the
+// violations and measurements of a scenario.
 struct Fleet {
-    // `base`: the sidecars' options, but for program, seed, folder and planners.
+    // `base` gives the sidecars' options except program, seed, keep_folder and planners.
     explicit Fleet(const PlannerClusterOptions& options,
                    const SidecarClusterOptions& base = default_sidecar_options())
         : planners(loop, planner_options(options)),
@@ -47,7 +47,7 @@
             violations.push_back(violation);
         }
     }
-    // How often `text` stands in the logs of all members.
+    // Counts the occurrences of `text` in the logs of all members.
     int count_in_logs(const std::string& text) const {
         int count = 0;
         for (int i = 1; i <= sidecars.options.members; ++i) {
@@ -61,7 +61,7 @@
     bool wait_until(Seconds timeout, const std::function<bool()>& predicate) {
         return sidecars.run_until(timeout, predicate);
     }
-    // The member that holds a lease; 0: none, or no planner answers.
+    // Returns the member that holds the lease; 0 if none does or no planner answers.
     int find_lease_holder(const std::string& lease) {
         for (int i = 1; i <= planners.options.planners; ++i) {
             if (const auto table = planners.table(i)) {
--- a/tools/fault_tests/lease_grant_cost.cpp
+++ b/tools/fault_tests/lease_grant_cost.cpp
@@ -23,7 +23,7 @@
     return std::chrono::duration<double>(Clock::now() - from).count();
 }
 
-// Acquires and releases so many leases at once over one connection, again and again.
+// Acquires and releases `concurrency` leases at a time over one connection, in a loop.
 class GrantLoop : public net::TcpConnection {
   public:
     GrantLoop(net::EventLoop& loop, const net::Address& address, int concurrency)
@@ -36,7 +36,7 @@
     long grants = 0;
     long rejected = 0;
     bool is_closed = false;
-    std::vector<double> grant_times;  // s, from a request to its grant
+    std::vector<double> grant_times;  // seconds from each request to its grant
 
   protected:
     void on_received() override {
@@ -58,8 +58,8 @@
                 case lease::Answer::over:
                     send_request(task, wire::LeaseAsk::TAKE, 0);
                     break;
-                default:  // its release is still on its way through the log, or there is no
-                          // leader
+                default:
+                    // The release of the lease has not been committed yet, or there is no leader.
                     ++rejected;
                     loop_.timers.at(net::clock_now() + 0.002,
                                     [this, task] { send_request(task, wire::LeaseAsk::TAKE, 0); });
@@ -80,7 +80,8 @@
         request.set_what(operation);
         request.set_lease(fmt::format("task-{}", task));
         request.set_fence(fence);
-        // Each round as another incarnation: a released token may not be used again.
+        // Each acquisition uses another incarnation, since a member can't use a released token
+        // again.
         if (operation == wire::LeaseAsk::TAKE) {
             ++incarnations_[task];
             requested_at_[task] = net::clock_now();
@@ -132,7 +133,8 @@
                              : 1e3 * times[static_cast<std::size_t>(
                                          quantile * static_cast<double>(times.size() - 1))];
     };
-    // fsyncs over the whole life of the leader's process, which did little else.
+    // The leader's process reports its fsyncs at exit. They are scaled down to the measured part of
+    // its lifetime, as grants were its only load.
     fmt::print("| {} planners | {} | {:.0f} | {:.2f} | {:.2f} | {:.1f} | {:.2f} |\n", count,
                concurrency, static_cast<double>(grants) / elapsed, at(0.5), at(0.99),
                static_cast<double>(fsyncs_at(leader)) / static_cast<double>(std::max(1L, grants)) *
@@ -142,7 +144,8 @@
     std::filesystem::remove_all(cluster.folder);
 }
 
-// The baseline: one process, one SQLite file, a transaction a grant and one a release.
+// The baseline: one process with one SQLite database and one transaction for each grant and each
+// release.
 void measure_single_database(const std::string& folder, Seconds duration) {
     sqlite3* db = nullptr;
     sqlite3_open((folder + "/one.db").c_str(), &db);
@@ -183,7 +186,8 @@
                1e3 * duration / static_cast<double>(count));
 }
 
-// What ways to store one record durably cost, the chosen one first.
+// Measures what it costs to store one record durably with SQLite, in the journal mode that planners
+// use and in write-ahead mode.
 void measure_sqlite(const std::string& folder, Seconds duration) {
     {
         planner::RaftStorage raft_storage(folder + "/a", cluster::Name{"p"}, 1,
--- a/tools/fault_tests/lease_holder.cpp
+++ b/tools/fault_tests/lease_holder.cpp
@@ -1,9 +1,10 @@
-// A lease holder for the fault tests: does one task under a lease, again and again. Before each
-// action it checks its guard, and it sends the fencing token with the action to the target. It uses
-// the same planner client as a sidecar.
+// A lease holder for the fault tests. It repeats one action under a lease: before each action it
+// checks that it still holds the lease (the guard), and it sends the fencing token with the action
+// to the target. It uses the same planner client as a sidecar.
 //   SIGUSR1: releases the lease and acquires it again a little later.
-//   SIGTERM: releases it and ends.
-//   A file at --mark: SIGSTOP to itself once, between guard and action.
+//   SIGTERM: releases the lease and exits.
+//   A file at the path of --mark: the holder removes it and stops itself once (SIGSTOP), between
+//   the guard and the action.
 #include <fmt/format.h>
 
 #include <CLI/CLI.hpp>
@@ -18,13 +19,13 @@
 
 using namespace tideline;
 
-constexpr Seconds kActionInterval = 0.01;  // s
-constexpr Seconds kReacquireDelay = 0.4;   // s
+constexpr Seconds kActionInterval = 0.01;
+constexpr Seconds kReacquireDelay = 0.4;
 const lease::LeaseName kTaskLease{"task"};
 
 volatile std::sig_atomic_t release_requested = 0;
 
-// The connection to the target, which records the actions.
+// The connection to the target, the process that records the actions.
 class ActionTarget : public net::TcpConnection {
   public:
     ActionTarget(net::EventLoop& loop, const net::Address& address)
@@ -85,7 +86,7 @@
         const auto token = planner_client_.may_act(kTaskLease);
         const Seconds checked_before = lease::lasting_now();
         if (token) {
-            // The guard allowed the action, which has not been sent.
+            // The guard has allowed the action, which has not been sent yet.
             if (!mark_path_.empty() && std::filesystem::remove(mark_path_)) {
                 std::raise(SIGSTOP);
             }
--- a/tools/fault_tests/lease_measurements.cpp
+++ b/tools/fault_tests/lease_measurements.cpp
@@ -1,4 +1,5 @@
-// What leases cost: the time without a holder, and CPU and memory of a sidecar that holds them.
+// Measures what leases cost: the time without a holder after each kind of loss, and the CPU time
+// and memory of a sidecar that holds leases.
 
 #include <fmt/format.h>
 
--- a/tools/fault_tests/lease_scenario_list.hpp
+++ b/tools/fault_tests/lease_scenario_list.hpp
@@ -1,5 +1,5 @@
-// The fixed scenarios of planners and leases, by subject. Each runs its faults on a cluster that is
-// started and complete; what did not hold is in the run's violations.
+// The fixed scenarios of planners and leases, by subject. Each injects its faults into a cluster
+// that has started completely, and adds what it finds to the violations of the run.
 #pragma once
 
 #include "fault_tests/fleet.hpp"
--- a/tools/fault_tests/lease_scenarios.cpp
+++ b/tools/fault_tests/lease_scenarios.cpp
@@ -24,8 +24,8 @@
 const std::vector<std::pair<std::string, void (*)(Fleet&)>> kFleetScenarios = {
     {"roll-call", roll_call}, {"warming", warming}};
 
-// Takes all faults back: the lease has a holder again without an operator, who only admits a
-// planner that lost its disk.
+// Undoes all faults and checks that the lease has a holder again. An operator's only part is to
+// admit a planner that lost its disk.
 void settle(PlannerClusterRun& run) {
     PlannerCluster& cluster = run.cluster;
     run.apply("heal");
--- a/tools/fault_tests/lease_scenarios.hpp
+++ b/tools/fault_tests/lease_scenarios.hpp
@@ -1,5 +1,4 @@
-// The fault tests of planners and leases: fixed scenarios, schedules of events, and how
-// long a lease is without a holder.
+// The fault tests of planners and leases: fixed scenarios, schedules of events, and measurements.
 #pragma once
 
 #include <string>
@@ -10,21 +9,22 @@
 namespace tideline::fault_tests {
 
 std::vector<std::string> lease_scenario_names();
-// `scenario`: one of the fixed ones, or all. False where something did not hold; `scenarios_run`
-// counts them.
+// Runs the scenario of that name, or all of them for "all". Adds the number of scenarios run to
+// `scenarios_run`. Returns false if a check failed.
 bool run_lease_scenarios(const PlannerClusterOptions& options, const std::string& scenario,
                          int& scenarios_run);
-// Applies the events in their order, then checks the whole record. False where something did not
-// hold.
+// Applies the events in order, then checks the complete record. Returns false if a check failed.
 bool run_lease_schedule(const PlannerClusterOptions& options, const std::string& name,
                         const std::vector<Event>& events);
-// The time until the next holder acts, after each of `times` kills, stops, cuts and releases.
+// Measures the time until the next holder acts after the current one is killed, stopped, cut off or
+// asked to release its lease, each `times` times.
 void measure_holder_gaps(const PlannerClusterOptions& options, int times);
-// What leases cost a sidecar that holds both and one that waits for both, beside the same fleet
-// without planners.
+// Measures the CPU time and memory of sidecars that hold a lease and of sidecars that wait for
+// both, in comparison with the same fleet without planners.
 void measure_lease_cost(const PlannerClusterOptions& options);
-// Grants a second and fsyncs a grant, with 3 and 5 planners, beside one SQLite file without
-// replicas; and what ways to store a log cost. `span`: s for each row.
+// Measures grants per second and fsyncs per grant with 3 and 5 planners, in comparison with one
+// SQLite database without replicas, and the cost of several ways to store a log. Each row takes
+// `duration`.
 void measure_grants(const PlannerClusterOptions& options, Seconds duration);
 
 }  // namespace tideline::fault_tests
--- a/tools/fault_tests/lease_scenarios_disk.cpp
+++ b/tools/fault_tests/lease_scenarios_disk.cpp
@@ -1,4 +1,4 @@
-// Lease scenarios: disks that fail, are full or damaged, and a clock that goes back.
+// Lease scenarios: disks that fail, are full or damaged, and a clock that is set back.
 
 #include <fmt/format.h>
 #include <sqlite3.h>
@@ -11,14 +11,15 @@
 
 namespace tideline::fault_tests {
 
-// A planner whose disk fails ends, as it can store no promise; the others go on.
+// A planner whose disk fails exits, since it can't store votes and log entries any more; the other
+// planners go on.
 void failing_disks(PlannerClusterRun& run) {
     for (const double kind : {1.0, 2.0}) {
         const char* const fault = kind == 1 ? "an fsync that fails" : "a full disk";
         const int leader = run.cluster.leader();
         run.apply("disk", {static_cast<double>(leader), kind});
         const Seconds from = net::clock_now();
-        run.apply("take-away", {});  // something to be stored
+        run.apply("take-away", {});  // a change that the leader has to store
         const auto status = run.wait_for_exit(leader);
         run.expect(status == kExitDiskFailed,
                    fmt::format("{}: the planner did not end with 3", fault));
@@ -35,10 +36,11 @@
 }
 namespace {
 
-// Flips one bit in the middle of a row of the planner's database; false where there is no row. The
-// row is found by its bytes: its page is not known beforehand, since the log may have just become a
-// snapshot, and the last page may be empty. An exclusive transaction first replays the journal that
-// a killed process leaves, which would restore pages after the change.
+// Flips one bit in the middle of a row of the planner's database; returns false if there is no row.
+// The row is located by its bytes, since its page is not known beforehand: the log may have just
+// been compacted into a snapshot, and the last page may be empty. An exclusive transaction first
+// rolls back the journal that a killed process leaves, which would otherwise restore pages after
+// the change.
 bool flip_bit_of_row(const std::string& path) {
     constexpr const char* kSelectLargestRow =
         "SELECT bytes FROM (SELECT bytes FROM log UNION ALL SELECT bytes FROM kept) "
@@ -75,7 +77,8 @@
 
 }  // namespace
 
-// A database cut short, or with an altered bit: the planner does not start, and says what to do.
+// A planner whose database is truncated or has a flipped bit does not start, and logs that the
+// database is damaged.
 void damaged_disks(PlannerClusterRun& run) {
     for (const char* damage : {"cut", "altered"}) {
         const int leader = run.cluster.leader();
@@ -93,7 +96,7 @@
         run.expect(run.wait_for_log_text(planner, "is damaged", 1) ||
                        run.wait_for_log_text(planner, "malformed", 1),
                    fmt::format("{}: it does not say that its disk is damaged", damage));
-        // As the page for operators says: emptied, started, admitted.
+        // The operator's procedure: remove the folder, start the planner, admit it.
         run.apply("wipe", {static_cast<double>(planner)});
         run.apply("start", {static_cast<double>(planner)});
         run.cluster.run(2);
@@ -103,7 +106,8 @@
             fmt::format("{}: the planners are not well afterwards", damage));
     }
 }
-// The time of day goes back an hour: nothing is counted by it.
+// The planners' wall clocks are set back by an hour. Leases do not depend on the wall clock, so the
+// holder keeps its lease.
 void clock_set_back(PlannerClusterRun& run) {
     const std::size_t from = run.cluster.actions.size();
     const int holder = run.wait_for_holder();
--- a/tools/fault_tests/lease_scenarios_fleet.cpp
+++ b/tools/fault_tests/lease_scenarios_fleet.cpp
@@ -1,4 +1,5 @@
-// Lease scenarios: sidecars with planners, whose leased tasks one member does for all.
+// Lease scenarios: a fleet of sidecars with planners, where the holder of a task's lease does the
+// task for the whole fleet.
 
 #include <fmt/format.h>
 
@@ -8,8 +9,8 @@
 
 namespace tideline::fault_tests {
 
-// A member is lost, then the holder of the roll call's lease: each alarm is raised once for the
-// fleet, and cleared once.
+// A member is killed, then the holder of the roll-call lease. Each alarm is raised once and cleared
+// once for the whole fleet.
 void roll_call(Fleet& fleet) {
     const int roll_call_holder = fleet.find_lease_holder("roll-call");
     const int lost_member = roll_call_holder == 2 ? 3 : 2;
@@ -44,9 +45,9 @@
     });
     fleet.expect(!raised, "an alarm still stands at the planners");
 }
-// New endpoints warm up while the holder of the warming lease is killed, and then all planners:
-// without a share dealt out, each sidecar limits itself, and no new endpoint gets more than the
-// rule allows.
+// New endpoints start while the holder of the warming lease is killed, and then all planners.
+// Without limits allocated by a holder each sidecar limits itself, and no new endpoint gets more
+// requests than its slow start allows.
 void warming(Fleet& fleet) {
     const std::size_t before = fleet.sidecars.endpoints.size();
     std::vector<Seconds> started_at;
@@ -67,8 +68,8 @@
     fleet.sidecars.run(3);
     fleet.expect(fleet.count_in_logs("slow-start limits allocated") >= 2,
                  "paces were not dealt out by one after the other");
-    // What reached each new endpoint within any window of the rule, over an even share of what
-    // all endpoints got: the rule is broken beyond 4 times its present capacity.
+    // For each window of 1 s: the requests that reached a new endpoint, relative to an even share
+    // of all requests times the endpoint's present capacity. The limit is 4.
     double worst = 0;
     const auto count_received = [&](const fakes::FakeEndpoint& endpoint, Seconds from, Seconds to) {
         return static_cast<double>(
--- a/tools/fault_tests/lease_scenarios_holder.cpp
+++ b/tools/fault_tests/lease_scenarios_holder.cpp
@@ -1,5 +1,4 @@
-// Lease scenarios: the holder is killed, stopped or cut off, gives its lease back or has it taken
-// away.
+// Lease scenarios: the holder is killed, stopped or cut off, or its lease is released or revoked.
 
 #include <fmt/format.h>
 
@@ -10,7 +9,7 @@
 
 namespace tideline::fault_tests {
 
-// A killed holder's lease lasts until it expires at the grantor; then the next holder acts.
+// The holder is killed. Its lease lasts until it expires at the leader; then the next holder acts.
 void holder_killed(PlannerClusterRun& run) {
     const int holder = run.wait_for_holder();
     run.apply("kill", {static_cast<double>(holder)});
@@ -21,7 +20,8 @@
     run.expect(gap <= kGrantorWaitDuration + kLeaseDuration, "the next acts too late");
     run.apply("start", {static_cast<double>(holder)});
 }
-// A lease that is released goes to the next holder at once, and to no other.
+// The holder releases its lease, which the next holder gets at once instead of after the lease's
+// duration.
 void lease_released(PlannerClusterRun& run) {
     const int holder = run.wait_for_holder();
     run.apply("release-task", {static_cast<double>(holder)});
@@ -29,8 +29,8 @@
     run.add_figure("until the next acts, s", gap);
     run.expect(gap < kLeaseDuration / 2, "a lease that was given back waits as if it had not been");
 }
-// A holder is stopped between its guard's check and its action, until another holds the lease: the
-// target rejects the late action by its fencing token alone.
+// A holder is stopped between the guard's check and the action until another process holds the
+// lease. The target rejects the late action by its fencing token.
 void stopped_between(PlannerClusterRun& run) {
     for (int round = 0; round < 3; ++round) {
         const int holder = run.wait_for_holder();
@@ -48,7 +48,7 @@
         run.expect(rejected, "the late act did not come, or took effect");
     }
 }
-// A holder that is cut off from all planners acts until its lease expires, and no longer.
+// A holder that is cut off from all planners acts until its lease expires, and not afterwards.
 void holder_cut_off(PlannerClusterRun& run) {
     const int holder = run.wait_for_holder();
     for (int i = 1; i <= run.cluster.options.planners; ++i) {
@@ -59,8 +59,8 @@
                    run.wait_for_another_holder(run.cluster.name_of(holder), net::clock_now()));
     run.apply("heal");
 }
-// An operator revokes the lease: the holder stops, the next one acts, and the table keeps who held
-// it.
+// An operator revokes the lease. The holder stops, the next one acts, and the lease table records
+// the former holder and that its lease was revoked.
 void lease_revoked(PlannerClusterRun& run) {
     const int holder = run.wait_for_holder();
     const std::string name = run.cluster.name_of(holder);
--- a/tools/fault_tests/lease_scenarios_planners.cpp
+++ b/tools/fault_tests/lease_scenarios_planners.cpp
@@ -1,4 +1,4 @@
-// Lease scenarios: planners are lost, restarted, replaced, or of another cluster.
+// Lease scenarios: planners are lost, restarted or replaced, or belong to another cluster.
 
 #include <fmt/format.h>
 
@@ -9,7 +9,8 @@
 
 namespace tideline::fault_tests {
 
-// The leader is killed, stopped, cut off: the holder goes on, as its lease outlasts an election.
+// The leader is killed, stopped or cut off. The holder keeps its lease, which lasts longer than an
+// election.
 void leader_lost(PlannerClusterRun& run) {
     for (const char* loss : {"kill", "stop", "cut"}) {
         const int leader = run.cluster.leader();
@@ -36,7 +37,7 @@
             "the planners are not well");
     }
 }
-// All planners are restarted, one after the other; the disks keep what was promised.
+// All planners are restarted one after the other. Their state is durable, so the task goes on.
 void rolling_restart(PlannerClusterRun& run) {
     for (int i = 1; i <= run.cluster.options.planners; ++i) {
         run.apply("term", {static_cast<double>(i)});
@@ -49,8 +50,8 @@
     run.expect(run.wait_for_action(kRecoveryTimeout),
                "nobody acts after the restart of all planners");
 }
-// Without a majority no lease is granted, and the holder stops when its lease expires; with a
-// majority the task goes on.
+// A majority of the planners is killed. The holder's lease can't be renewed, so the holder stops
+// when it expires; the task goes on once the majority is back.
 void no_majority(PlannerClusterRun& run) {
     run.wait_for_holder();
     const int majority = run.cluster.options.planners / 2 + 1;
@@ -69,7 +70,8 @@
     run.expect(run.wait_for_action(kRecoveryTimeout), "nobody acts once the majority is back");
     run.add_figure("after the majority is back, s", net::clock_now() - restored_at);
 }
-// A planner that lost its disk has no vote until an operator admits it.
+// A planner that lost its disk has no vote until an operator admits it, since it may have forgotten
+// votes and log entries.
 void planner_replaced(PlannerClusterRun& run) {
     const int leader = run.cluster.leader();
     const int lost = leader == 2 ? 3 : 2;
@@ -83,7 +85,7 @@
         alarmed |= run.wait_for_log_text(i, fmt::format("p{} is here without a vote", lost), 0.1);
     }
     run.expect(alarmed, "nobody says that a planner lost its disk");
-    // Another is down meanwhile.
+    // A further planner is down while the replaced one is admitted.
     const int down = 5 == lost || 5 == run.cluster.leader() ? 4 : 5;
     run.apply("kill", {static_cast<double>(down)});
     run.apply("admit", {static_cast<double>(lost)});
@@ -99,7 +101,8 @@
     run.add_figure("votes after it was admitted, s", net::clock_now() - from);
     run.apply("start", {static_cast<double>(down)});
 }
-// A disk of another cluster under a known name, and a cluster founded twice: neither is accepted.
+// A planner with an empty disk must not found a second cluster, and a planner that founded a
+// cluster of its own under a known name is not accepted into the first.
 void another_cluster(PlannerClusterRun& run) {
     const int leader = run.cluster.leader();
     const int planner = leader == 3 ? 4 : 3;
@@ -112,7 +115,8 @@
                "a second cluster is founded beside the first");
     run.expect(run.wait_for_log_text(planner, "start without --found to join it", 1),
                "it does not say why");
-    // Founded while it was cut off from the others, then connected to them.
+    // The planner founds a cluster while it is cut off from the others, and is then connected to
+    // them.
     for (int i = 1; i <= run.cluster.options.planners; ++i) {
         run.apply("cut", {node, static_cast<double>(i)});
         run.apply("cut", {static_cast<double>(i), node});
--- a/tools/fault_tests/main.cpp
+++ b/tools/fault_tests/main.cpp
@@ -1,5 +1,5 @@
-// The fault tests: real processes of the program as a fleet, failures between them, and a check of
-// the whole record. Loopback only; ends by itself.
+// The fault tests: run real processes as a cluster on loopback addresses, inject faults, and check
+// the complete record of requests, answers and logs afterwards.
 #include <fmt/format.h>
 #include <fmt/ranges.h>
 
@@ -24,7 +24,7 @@
 constexpr int kExitViolations = 1;
 constexpr int kExitNotRun = 2;
 
-// What was run: how many scenarios, and whether no check failed in any of them.
+// The number of scenarios that were run, and whether all their checks passed.
 struct Summary {
     bool passed = true;
     int scenarios_run = 0;
@@ -48,7 +48,7 @@
     return command_line.run_leases ? lease_scenario_names() : sidecar_scenario_names();
 }
 
-// True where the command line asks for a measurement, which is then done.
+// Runs the measurement that the command line asks for; returns false if it asks for none.
 bool run_measurement(const CommandLine& command_line) {
     if (command_line.holder_losses > 0) {
         measure_holder_gaps(command_line.planners, command_line.holder_losses);
--- a/tools/fault_tests/network_relay.cpp
+++ b/tools/fault_tests/network_relay.cpp
@@ -32,7 +32,7 @@
   private:
     NetworkRelay& relay_;
     RelayedConnection& splice_;
-    const bool is_outbound_;  // by the relay, to the member behind
+    const bool is_outbound_;  // whether the relay opened it, to the member addressed
 };
 
 struct NetworkRelay::RelayedConnection {
--- a/tools/fault_tests/network_relay.hpp
+++ b/tools/fault_tests/network_relay.hpp
@@ -1,7 +1,8 @@
-// The network between the members of a test: members connect to each other at addresses of the
-// relay, which forwards the bytes. It knows the sender by its address, so each direction of each
-// pair can be cut or delayed. Bytes on a cut link are queued, as on a network that goes silent, and
-// delivered once it heals.
+// Simulates network faults between the members of a test. Members connect to addresses of the
+// relay, which forwards the bytes to the member addressed. The relay identifies the sender by its
+// IP address, so each direction of each pair of members can be cut or delayed. Bytes on a cut link
+// are queued, as on a network that drops packets without closing connections, and delivered once
+// the link heals.
 #pragma once
 
 #include <map>
@@ -15,25 +16,28 @@
 namespace tideline::fault_tests {
 
 constexpr int kClusterPort = 7800;
-// Networks of this run: host i of the one is dialled, of the other listens.
+// The loopback networks of a test, as numbers for fakes::at_port: host i of the first is the
+// relay's address for member i, host i of the second is where the member listens.
 constexpr int kDialedNetwork = 2;
 constexpr int kListenNetwork = 1;
 
-// Used on the thread of the event loop, which must outlive it.
+// Must be used on the thread of the event loop, which must outlive the relay.
 class NetworkRelay {
   public:
-    // Listens for members first to first + members - 1; throws std::runtime_error where it can't.
+    // Listens on behalf of the members first to first + members - 1. Throws std::runtime_error if
+    // it can't.
     NetworkRelay(net::EventLoop& loop, int members, int first = 1);
     ~NetworkRelay();
-    using Direction = std::pair<int, int>;  // from, to; members count from 1
+    using Direction = std::pair<int, int>;  // from, to; members are numbered from 1
     void cut(Direction direction) {
         cut_links_.insert(direction);
     }
-    // Bytes that arrive from now on are forwarded `by` seconds later.
+    // Delays the bytes that arrive from now on by `duration`.
     void delay(Direction direction, Seconds duration) {
         delays_[direction] = duration;
     }
-    void heal();  // all directions; queued bytes are delivered, delays end
+    // Heals all links: queued bytes are delivered, and delays end.
+    void heal();
     void heal(Direction direction);
     bool is_cut(Direction direction) const {
         return cut_links_.contains(direction);
--- a/tools/fault_tests/planner_cluster.cpp
+++ b/tools/fault_tests/planner_cluster.cpp
@@ -19,8 +19,9 @@
 
 constexpr int kTargetPort = 7700;
 constexpr int kTargetHost = 9 * 256;
-constexpr Seconds kFormationTimeout = 20;   // s: until a new cluster is there
-constexpr const char* kTaskLease = "task";  // the lease that the holders want
+// time for a new cluster to elect a leader and grant the lease
+constexpr Seconds kFormationTimeout = 20;
+constexpr const char* kTaskLease = "task";  // the lease that the holders request
 
 }  // namespace
 
@@ -142,7 +143,7 @@
     std::vector<std::string> command{
         "/usr/bin/env", "LD_PRELOAD=" + std::filesystem::absolute(options.faulty_disk).string(),
         "TIDELINE_BADDISK=" + path + ".bad", "TIDELINE_FSYNCS=" + path + ".fsyncs",
-        // Built with sanitizers, their library would have to be loaded first.
+        // In a sanitizer build the address sanitizer's library would have to be preloaded first.
         "ASAN_OPTIONS=verify_asan_link_order=0", options.program, "planner", "--file",
         path + ".cfg"};
     if (founds_cluster) {
@@ -161,9 +162,9 @@
                    [&] { return is_healthy() && (options.holders == 0 || !actions.empty()); })) {
         throw std::runtime_error("the planners did not come together");
     }
-    // Scenarios rely on a waiting successor: a lease that is revoked while nobody waits is granted
-    // to its former holder again. A holder that asked before the planners had a leader asks again
-    // only after a backoff of up to 4 s.
+    // Scenarios rely on a waiting successor: a lease that is revoked while no other holder waits
+    // for it is granted to its former holder again. A holder that requested the lease before the
+    // planners had a leader repeats its request only after a backoff of up to 4 s.
     if (!run_until(kFormationTimeout, [&] { return options.holders == 0 || all_holders_wait(); })) {
         throw std::runtime_error("the holders do not wait for the lease");
     }
--- a/tools/fault_tests/planner_cluster.hpp
+++ b/tools/fault_tests/planner_cluster.hpp
@@ -1,5 +1,5 @@
-// Planners and lease holders of a fault test: real processes, the relay between them, a target that
-// records each action with its fencing token, and faults of disks and clocks.
+// The planners and lease holders of a fault test: real processes with the relay between them, a
+// target that records each action with its fencing token, and faults of disks and clocks.
 #pragma once
 
 #include <functional>
@@ -24,11 +24,11 @@
     int holders = 6;
     std::uint32_t seed = 1;
     bool keep_folder = false;
-    bool bypass_relay = false;  // connect without the relay: for measurements
-    int first_host = 0;         // node 1 is at the host after this one
+    bool bypass_relay = false;  // for measurements: connect without the relay
+    int first_host = 0;         // node i listens on host first_host + i
 };
 
-// Times of leases and of Raft, in seconds; short, so that a test is.
+// The settings of leases and of Raft in these tests, short so that the tests are short.
 constexpr Seconds kLeaseDuration = 1;
 constexpr Seconds kClaimTimeout = 0.3;
 constexpr Seconds kHeartbeatInterval = 0.05;
@@ -36,78 +36,87 @@
 constexpr Seconds kMaxElectionTimeout = 0.5;
 constexpr double kMaxClockDrift = 0.01;
 
-// An action of a lease holder, as the target received it.
+// An action of a lease holder as the target received it.
 struct TaskAction {
-    Seconds arrived_at = 0;  // at the target
+    Seconds arrived_at = 0;  // when the target received it
     std::string holder;
     std::uint64_t fencing_token = 0;
-    // The holder's guard allowed it between these times of a clock that all processes share.
+    // The guard allowed the action between these two times of CLOCK_BOOTTIME, which all
+    // processes share.
     Seconds checked_after = 0;
     Seconds checked_before = 0;
-    bool accepted = false;  // the target took it; false: a higher token was known
+    // False if the target rejected the action because it had seen a higher token.
+    bool accepted = false;
 };
 
-// Nodes count from 1: the planners, then the holders. Used on the thread of the event loop, which
-// must outlive it.
+// Nodes are numbered from 1: first the planners, then the holders. Must be used on the thread of
+// the event loop, which must outlive the cluster.
 class PlannerCluster {
   public:
     PlannerCluster(net::EventLoop& loop, const PlannerClusterOptions& options);
     ~PlannerCluster();
-    // Kills all nodes and waits for their ends: nobody writes to the folder afterwards.
+    // Kills all nodes and waits until they have exited, so that none writes to the folder
+    // afterwards.
     void end_processes();
-    void begin();  // founds the cluster, starts all; throws where that does not come about
+    // Starts all nodes; the first planner founds the cluster. Throws std::runtime_error if the
+    // cluster has no leader or the lease has no holder in time.
+    void begin();
     void apply(const Event& event);
     void run(Seconds duration);
     bool run_until(Seconds timeout, const std::function<bool()>& predicate);
     void start(int node, bool founds_cluster = false);
-    // One question to one planner, past the relay; nothing where no answer came within a second.
+    // Sends a request to one planner without the relay. Returns nothing if no answer came within a
+    // second.
     std::optional<wire::LeaseAnswer> send_request(int planner, const wire::LeaseAsk& request);
     std::optional<wire::PlannerTable> table(int planner);
-    int leader();       // 0: none that answers
-    bool is_healthy();  // all planners vote, and one leads
-    // One holder has the lease of the task and all others wait for it, so that whoever loses it has
-    // a successor.
+    int leader();       // the node that leads; 0 if no planner answers
+    bool is_healthy();  // whether all planners vote and one of them leads
+    // Whether one holder has the lease of the task and all others wait for it, so that there is a
+    // successor.
     bool all_holders_wait();
     std::string log_of(int node) const;
     std::string folder_of(int planner) const;
     std::string name_of(int node) const;
     int node_of(const std::string& name) const;
-    double cpu_of(int node) const;  // s
+    double cpu_of(int node) const;  // CPU time in seconds
     bool is_planner(int node) const {
         return node <= options.planners;
     }
+    // The host part of the node's address, which is also its number at the relay.
     int host_of(int node) const {
         return options.first_host + node;
-    }                                            // also its number at the relay
-    std::vector<std::string> addresses() const;  // of the planners, as they are dialled
+    }
+    std::vector<std::string> addresses() const;  // the planners' addresses at the relay
 
     net::EventLoop& loop;
     const PlannerClusterOptions options;
     std::string folder;
     NetworkRelay relay;
-    std::vector<std::unique_ptr<fakes::Process>> processes;  // [0] is not used
+    std::vector<std::unique_ptr<fakes::Process>> processes;  // index 0 is not used
     std::vector<TaskAction> actions;
-    std::vector<std::pair<int, int>> ended;  // planners that ended by themselves, with their status
+    // Planners that exited by themselves, with their exit status.
+    std::vector<std::pair<int, int>> ended;
 
   private:
     class TargetConnection;
     void record_action(const std::string& line);
     std::string planner_config_of(int planner) const;
-    // Each applies the actions of its subject; false where the action is of another.
+    // Each applies the events of its subject, and returns false for other events.
     bool apply_to_process(const Event& event);
     bool apply_to_links(const Event& event);
     void apply_as_operator(const Event& event);
-    void set_disk_fault(int node, int fault);  // as in a schedule's disk; 0: none
+    // `fault` is the number in a schedule's event "disk"; 0 removes the fault.
+    void set_disk_fault(int node, int fault);
     fakes::Server<TargetConnection, PlannerCluster> target_;
-    std::uint64_t highest_token_ = 0;  // that the target has seen
+    std::uint64_t highest_token_ = 0;  // the highest token that the target has seen
     std::vector<bool> stopped_;
     int drawn_ = 0;
 };
 
-// Each rule that did not hold in the whole record, as a line; empty where all held.
+// Checks the complete record. Returns one line for each violated rule; empty if none was violated.
 std::vector<std::string> violations_of(const PlannerCluster& cluster);
 
-// Faults drawn from a seed, over `length` seconds.
+// Generates random faults from a seed over `length` seconds.
 std::vector<Event> random_planner_schedule(std::uint32_t seed, int planners, int holders,
                                            Seconds length);
 
--- a/tools/fault_tests/planner_cluster_check.cpp
+++ b/tools/fault_tests/planner_cluster_check.cpp
@@ -1,4 +1,4 @@
-// The check of a whole record of planners and lease holders.
+// Checks the complete record of a fault test with planners and lease holders.
 
 #include <fmt/format.h>
 
@@ -12,7 +12,8 @@
 
 namespace {
 
-// Each fencing token has one holder, and nothing takes effect after an action under a higher one.
+// Each fencing token has one holder, and no action takes effect after an action under a higher
+// token.
 void check_tokens(const PlannerCluster& cluster, Violations& violations) {
     std::map<std::uint64_t, std::string> holders;
     std::uint64_t highest = 0;
@@ -33,9 +34,9 @@
     }
 }
 
-// No guard allows an action after another guard allowed one under a higher token: by the clock
-// alone, whatever the target does. Each check lies between two readings; only what is certain
-// counts.
+// No guard allows an action after another guard allowed one under a higher token. This holds by the
+// clocks alone, whatever the target rejects. Each guard's check happened between two readings of
+// the clock; only checks whose order is certain count as violations.
 void check_guards(const PlannerCluster& cluster, Violations& violations) {
     std::vector<const TaskAction*> by_guard;
     for (const TaskAction& action : cluster.actions) {
@@ -43,7 +44,7 @@
     }
     std::sort(by_guard.begin(), by_guard.end(),
               [](auto* a, auto* b) { return a->checked_before < b->checked_before; });
-    // From when on, the highest token so far.
+    // The actions whose token is the highest so far, with the times from which they count.
     std::vector<std::pair<Seconds, const TaskAction*>> highest;
     for (const TaskAction* action : by_guard) {
         if (highest.empty() || action->fencing_token > highest.back().second->fencing_token) {
--- a/tools/fault_tests/planner_cluster_run.hpp
+++ b/tools/fault_tests/planner_cluster_run.hpp
@@ -1,5 +1,4 @@
-// One scenario with planners and lease holders: the cluster, what did not hold and what was
-// measured.
+// One scenario with planners and lease holders: the cluster, its violations and its measurements.
 #pragma once
 
 #include <algorithm>
@@ -12,14 +11,17 @@
 
 namespace tideline::fault_tests {
 
-constexpr Seconds kRecoveryTimeout =
-    15;  // s: after all is healed the lease has a holder again within this
-// The grantor waits for span * (1 + drift) / (1 - drift) from when it heard the last renewal.
+// After all faults are undone the lease has a holder again within this time.
+constexpr Seconds kRecoveryTimeout = 15;
+// The leader waits this long after the last renewal before it grants the lease to another holder:
+// the lease's duration, extended for the clocks' drift.
 constexpr Seconds kGrantorWaitDuration =
     kLeaseDuration * (1 + kMaxClockDrift) / (1 - kMaxClockDrift);
-constexpr int kExitDiskFailed = 3;  // exit status of a planner whose disk failed
+// The exit status of a planner after a fatal error, such as a failed disk.
+constexpr int kExitDiskFailed = 3;
 
-// The scenario's faults use it; its violations and figures are printed afterwards.
+// Passed to the function that injects the scenario's faults. Violations and measured figures are
+// printed afterwards.
 struct PlannerClusterRun {
     explicit PlannerClusterRun(const PlannerClusterOptions& options) : cluster(loop, options) {}
     net::EventLoop loop;
@@ -38,14 +40,14 @@
     const TaskAction* newest_action() const {
         return cluster.actions.empty() ? nullptr : &cluster.actions.back();
     }
-    // The node that acts next, within 2 s; 0: none.
+    // Waits up to 2 s for an action and returns the node that acted; 0 if none did.
     int wait_for_holder() {
         const std::size_t from = cluster.actions.size();
         cluster.run_until(2, [&] { return cluster.actions.size() > from; });
         return cluster.actions.size() > from ? cluster.node_of(newest_action()->holder) : 0;
     }
-    // Seconds from `from` until a holder other than `previous` acts; -1 and a violation where none
-    // does.
+    // Waits until a holder other than `previous` acts, and returns the time since `from`. If none
+    // does, adds a violation and returns -1.
     Seconds wait_for_another_holder(const std::string& previous, Seconds from,
                                     Seconds timeout = 15) {
         std::size_t checked = cluster.actions.size();
@@ -65,12 +67,13 @@
         const std::size_t from = cluster.actions.size();
         return cluster.run_until(timeout, [&] { return cluster.actions.size() > from; });
     }
-    // Whether a node's log contains `text` within `most` seconds.
+    // Waits until the node's log contains `text`; returns false if it does not within `timeout`.
     bool wait_for_log_text(int node, const std::string& text, Seconds timeout = 8) {
         return cluster.run_until(
             timeout, [&] { return cluster.log_of(node).find(text) != std::string::npos; });
     }
-    // The exit status of a node that ends within `most` seconds.
+    // Waits until the node exits and returns its exit status; nothing if it does not within
+    // `timeout`.
     std::optional<int> wait_for_exit(int node, Seconds timeout = 8) {
         cluster.run_until(
             timeout, [&] { return !cluster.processes[static_cast<std::size_t>(node)]->runs(); });
@@ -79,7 +82,8 @@
     void add_figure(const std::string& name, double value) {
         figures.emplace_back(name, value);
     }
-    // s: the longest time between two actions, from the action with index `from` on.
+    // Returns the longest time between two consecutive actions, from the action with index `from`
+    // on.
     Seconds longest_gap(std::size_t from) const {
         Seconds longest = 0;
         for (std::size_t i = std::max<std::size_t>(1, from); i < cluster.actions.size(); ++i) {
--- a/tools/fault_tests/random_schedule.cpp
+++ b/tools/fault_tests/random_schedule.cpp
@@ -1,4 +1,5 @@
-// Schedules of faults drawn from a seed, for sidecars and for planners with lease holders.
+// Generates schedules of random faults from a seed, for sidecars and for planners with lease
+// holders.
 
 #include <algorithm>
 #include <cmath>
@@ -11,7 +12,7 @@
 
 namespace {
 
-// Events of one fault at `at`, taken back `span` seconds later.
+// Adds a fault at `at` and its undoing `duration` later.
 void push_with_undo(std::vector<Event>& events, Seconds at, Seconds duration, const char* fault,
                     const char* undo, double node) {
     events.push_back({at, fault, {node}});
@@ -36,7 +37,8 @@
     events.push_back({at, "slow", {node, delay}});
     events.push_back({at + duration, "slow", {node, 0}});
 }
-// A planner loses its disk and is admitted again; an operator asks until it is.
+// A planner loses its disk and starts without it. An operator repeats the request to admit it,
+// since a request fails while there is no leader.
 void push_lost_disk(std::vector<Event>& events, Seconds at, double planner) {
     events.push_back({at, "kill", {planner}});
     events.push_back({at + 0.01, "wipe", {planner}});
@@ -48,8 +50,7 @@
 
 }  // namespace
 
-// Random faults, each taken back a while later; endpoints and the release go on changing
-// meanwhile.
+// Each fault is undone after a random time. Endpoints and the release change meanwhile.
 std::vector<Event> random_sidecar_schedule(std::uint32_t seed, int members, Seconds length) {
     std::ranlux24_base random(seed);
     const auto draw = [&](double from, double to) {
@@ -107,8 +108,8 @@
     return events;
 }
 
-// Random faults, each taken back a while later. At most one disk is lost, as the majority of
-// planners must keep what was promised until the one without a disk is admitted again.
+// Each fault is undone after a random time. At most one planner loses its disk, since a majority
+// must keep its votes and log until that planner is admitted again.
 std::vector<Event> random_planner_schedule(std::uint32_t seed, int planners, int holders,
                                            Seconds length) {
     std::ranlux24_base random(seed);
--- a/tools/fault_tests/replication_cost.cpp
+++ b/tools/fault_tests/replication_cost.cpp
@@ -1,5 +1,6 @@
-// What replication costs: a charge with and without, group commit, saturation, repair and latencies
-// meanwhile. Real processes on one machine.
+// Measures what replication costs with real processes on one machine: the latency of a charge with
+// and without replication and group commit, the rate at saturation, and the time and latencies of a
+// repair.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -14,9 +15,9 @@
 
 using namespace fakes;
 
-constexpr int kSaturatingClients = 96;  // each sends its next request on an answer
-constexpr double kChargesPerSecond =
-    150;  // charges a second, all sidecars together, where one is measured by itself
+constexpr int kSaturatingClients = 96;  // each sends its next request when it has an answer
+// The rate, over all sidecars, at which latencies are measured below saturation.
+constexpr double kChargesPerSecond = 150;
 
 struct Latencies {
     std::vector<double> seconds;
@@ -71,7 +72,7 @@
     }
     return spread;
 }
-// Callers that send one new charge after the other.
+// Clients that each send new charges one after the other, as a load that saturates the sidecars.
 struct SaturationLoad {
     SaturationLoad(ReplicationFleet& fleet, const std::string& prefix)
         : fleet_(fleet), prefix_(prefix) {
@@ -128,7 +129,7 @@
     }
 }
 
-// Starts planners and sidecars with fast endpoints, and waits until all replicas are placed.
+// Starts planners and sidecars with fast endpoints, and waits until all replicas are complete.
 void start_fleet(ReplicationFleet& fleet) {
     fleet.planners.begin();
     fleet.sidecars.begin();
@@ -141,7 +142,7 @@
     }
 }
 
-// Charges at kRate without retries from now on; returns after 3 s.
+// Starts clients that send kChargesPerSecond charges without retries; returns after 3 s.
 void start_clients(ReplicationFleet& fleet) {
     fleet.clients.retry_share_after_success = 0;
     fleet.clients.max_attempts = 1;
@@ -149,10 +150,10 @@
     fleet.run(3);
 }
 
-// One row of the table of charges.
+// One row of the table of replicated requests.
 struct RequestRow {
     const char* name;
-    int replicas;  // 0: without replication
+    int replicas;  // 0 turns replication off
     bool group_commit;
 };
 
@@ -197,7 +198,7 @@
     remove_folders(fleet);
 }
 
-// Until so many records are stored, for 120 s at most.
+// Sends charges until `record_count` records are stored, for 120 s at most.
 void store_records(ReplicationFleet& fleet, int record_count) {
     SaturationLoad fill(fleet, "f");
     const Seconds until = net::clock_now() + 120;
@@ -221,7 +222,8 @@
     return 0;
 }
 
-// First attempts at other members than the lost one that were rejected, from a request on.
+// Counts the requests from index `from` on whose first attempt, at another member than the lost
+// one, was rejected.
 std::size_t rejected_since(const ReplicationFleet& fleet, std::size_t from, int lost) {
     std::size_t rejected = 0;
     for (std::size_t i = from; i < fleet.clients.requests.size(); ++i) {
--- a/tools/fault_tests/replication_run.hpp
+++ b/tools/fault_tests/replication_run.hpp
@@ -1,4 +1,5 @@
-// A fleet with replication under fault tests: its requests, its losses and the check of the record.
+// A fleet with replication in a fault test: its clients, its lost machines and the check of the
+// record.
 #pragma once
 
 #include <fmt/format.h>
@@ -16,28 +17,29 @@
 using cluster::Name;
 
 constexpr int kClientPort = 5433;
-constexpr Seconds kCompletionTimeout =
-    20;  // s: after all is healed, all replicas are there again within this
-constexpr Seconds kMaxLateness =
-    0.15;  // s beyond a time limit: between a fact and the record of it, on a busy machine
-constexpr Seconds kRecordNotificationDelay =
-    0.3;  // s after an answer: the primary has its record by then
-constexpr Seconds kServiceStartTimeout = 1;  // s after its start: a sidecar serves by then
-constexpr std::size_t kMaxFinalRetries =
-    120;  // requests that are retried at the end, of those that had an answer
+// After all faults are undone, all replicas are complete again within this time.
+constexpr Seconds kCompletionTimeout = 20;
+// Tolerated time between an answer and its entry in the record, on a busy machine.
+constexpr Seconds kMaxLateness = 0.15;
+// The primary has the record of an answer this long after the answer.
+constexpr Seconds kRecordNotificationDelay = 0.3;
+// A started sidecar serves requests within this time.
+constexpr Seconds kServiceStartTimeout = 1;
+// The number of answered requests that are retried at the end of a scenario.
+constexpr std::size_t kMaxFinalRetries = 120;
 
-// The sidecars' options by those of the scenario.
+// Returns the sidecars' options for the scenario's.
 inline SidecarClusterOptions cluster_options_of(const ReplicationOptions& options) {
     SidecarClusterOptions all;
     all.members = options.members;
     all.replicas = options.without_replication ? 0 : options.replicas;
     all.min_replicas = options.min_replicas;
-    all.rate = 0;  // only the repeating clients send requests
+    all.rate = 0;  // only the clients that retry send requests
     all.faulty_disk = options.planners.faulty_disk;
     return all;
 }
 
-// Planners, sidecars and repeating clients of one scenario.
+// The planners, sidecars and clients with retries of one scenario.
 struct ReplicationFleet : Fleet {
     explicit ReplicationFleet(const ReplicationOptions& replication_options,
                               const SidecarClusterOptions& base)
@@ -58,7 +60,8 @@
     void run(Seconds duration) {
         sidecars.run(duration);
     }
-    // The answer of the first running member; nothing where none answered.
+    // Sends a query to the running members in order and returns the first answer; nothing if none
+    // answered.
     std::optional<wire::Holdings> query(const wire::AskHoldings& message = {}) {
         for (int i = 1; i <= options.members; ++i) {
             SidecarCluster::Member& member = sidecars.members[static_cast<std::size_t>(i)];
@@ -75,7 +78,7 @@
         }
         return std::nullopt;
     }
-    // The newest table that a member knows.
+    // Returns the replica table of the first member that answers.
     std::optional<replication::ReplicaTable> table() {
         const auto answer = query();
         replication::ReplicaTable table;
@@ -84,14 +87,14 @@
         }
         return table;
     }
-    // The number of the member that holds the repair lease; 0: none is known.
+    // Returns the number of the member that holds the repair lease; 0 if none is known.
     int repair_coordinator() {
         const auto answer = query();
         const std::string name = answer ? answer->steward() : "";
         return name.empty() ? 0 : std::stoi(name.substr(1));
     }
-    // Every shard has all its replicas, in different places, and a primary that serves; all members
-    // have the newest table.
+    // Whether every shard has all its replicas, in different places, and a primary that serves, and
+    // all members have the newest table.
     bool is_complete() {
         const auto answer = query();
         replication::ReplicaTable table;
@@ -136,7 +139,8 @@
         }
         return false;
     }
-    // The member that is primary of most shards, or a replica of most.
+    // Returns the member that is the primary of the most shards, or, unless `primary`, a replica of
+    // the most.
     int busiest_member(bool primary) {
         std::map<Name, int> counts;
         if (const auto current = table()) {
@@ -156,7 +160,7 @@
         }
         return busiest;
     }
-    // Kills a member and removes its disk.
+    // Kills a member and removes its folder.
     void lose_machine(int member) {
         apply("kill", {static_cast<double>(member)});
         apply("wipe", {static_cast<double>(member)});
@@ -168,7 +172,7 @@
             return from >= interval.from + kServiceStartTimeout && to < interval.to;
         });
     }
-    // Checks the whole record of clients and endpoints; adds to the violations.
+    // Checks the complete record of clients and endpoints and adds the violations.
     void check() {
         expect(count_in_logs("shows two seals") == 0, "a member shows two seals of one epoch");
         for (const auto& [key, all] : sidecars.effects.by_key) {
@@ -205,7 +209,8 @@
             }
         }
     }
-    // The sidecar that answered was lost right afterwards: its record may then be lost as well.
+    // Whether the sidecar that answered went down right afterwards. The record of the answer may
+    // then be lost as well.
     bool was_lost_after_answer(const fakes::RepeatedRequest& each) const {
         for (const fakes::Attempt& attempt : each.attempts) {
             if (attempt.result != fakes::CallResult::succeeded) {
@@ -222,8 +227,8 @@
         }
         return false;
     }
-    // Retries requests that had an answer at another sidecar: each gets the same answer, and
-    // nothing takes effect again.
+    // Retries answered requests at another sidecar. Each must get the same answer, and none may
+    // take effect again.
     void retry_answered_requests() {
         std::vector<std::size_t> answered_requests;
         const Seconds now = net::clock_now();
@@ -251,7 +256,8 @@
             run(0.005);
         }
         run(clients.time_limit + 0.3);
-        // A rejected one is retried: the rejection promises no effect, and is no loss.
+        // A rejected attempt is retried: a rejection means that the attempt took no effect, and
+        // does not show that the answer is lost.
         for (int round = 0; round < 3; ++round) {
             bool any_rejected = false;
             for (const std::size_t request_index : chosen) {
--- a/tools/fault_tests/replication_scenario_list.hpp
+++ b/tools/fault_tests/replication_scenario_list.hpp
@@ -1,5 +1,5 @@
-// The fixed scenarios of replication, by subject. Each runs its faults on a fleet whose replicas
-// are complete; what did not hold is in the fleet's violations.
+// The fixed scenarios of replication, by subject. Each injects its faults into a fleet whose
+// replicas are complete, and adds what it finds to the violations of the fleet.
 #pragma once
 
 #include "fault_tests/replication_run.hpp"
--- a/tools/fault_tests/replication_scenarios.cpp
+++ b/tools/fault_tests/replication_scenarios.cpp
@@ -39,7 +39,7 @@
                                           {"lost-in-repair", lost_in_repair, 3, 2e4},
                                           {"epochs-kept", epochs_kept}};
 
-// Takes all faults back: the replicas are complete again without an operator.
+// Undoes all faults and checks that the replicas become complete again without an operator.
 void settle(ReplicationFleet& fleet) {
     fleet.apply("heal");
     for (int i = 1; i <= fleet.options.members; ++i) {
@@ -108,7 +108,7 @@
     return print_report(report, kPrintedViolations);
 }
 
-// Faults and machine losses drawn from a seed, each taken back a while later.
+// Injects random faults and machine losses from a seed. Each is undone after a random time.
 class RandomFaults {
   public:
     RandomFaults(ReplicationFleet& fleet, std::uint32_t seed) : fleet_(fleet), random_(seed) {}
@@ -147,7 +147,8 @@
                 return kill_planner();
         }
     }
-    // A machine, or both in one place, at any instant, once the replicas are complete.
+    // Loses a machine, or both machines of one place, at a random time after the replicas are
+    // complete.
     void lose_machines(double member) {
         if (!fleet_.options.without_replication && !fleet_.wait_until_complete(10)) {
             return;
@@ -183,7 +184,7 @@
         fleet_.apply("slow", {member, draw(0.1, 3)});
         fleet_.run(draw(0.1, 2.5));
         fleet_.apply("slow", {member, 0.0});
-        fleet_.run(3.2);  // until what was delayed has arrived
+        fleet_.run(3.2);  // until the delayed messages have arrived
     }
     void kill_planner() {
         fleet_.planners.apply({0, "kill", {static_cast<double>(1 + static_cast<int>(draw(0, 3)))}});
--- a/tools/fault_tests/replication_scenarios_disk.cpp
+++ b/tools/fault_tests/replication_scenarios_disk.cpp
@@ -1,4 +1,4 @@
-// Replication scenarios: disks that fail, are full, or alter what they hold.
+// Replication scenarios: disks that fail, are full or corrupt records.
 
 #include <fstream>
 #include <iterator>
@@ -9,8 +9,8 @@
 
 using namespace fakes;
 
-// An fsync that fails, or a full disk: the member stores no records any more, reports it, and
-// serves by way of the others.
+// An fsync fails, or the disk is full. The member logs that and stores no records any more, but
+// still serves charges with the replicas on other members.
 void failing_disks(ReplicationFleet& fleet) {
     for (const int disk_fault : {1, 2}) {
         const int member = fleet.busiest_member(true);
@@ -35,7 +35,8 @@
 }
 namespace {
 
-// Flips one bit of a stored row; false where there is none. There is one as long as charges arrive.
+// Flips one bit of a stored row; returns false if there is no row. Rows exist as long as charges
+// arrive.
 bool flip_bit_of_row(const std::string& path) {
     std::string bytes;
     {
@@ -53,9 +54,9 @@
 
 }  // namespace
 
-// An altered row is found and fetched again from another replica.
+// A corrupted row is detected and fetched again from another replica: first when the member starts,
+// then by the scrub while a member serves.
 void altered_record(ReplicationFleet& fleet) {
-    // First found at the start, then while the member serves.
     const int member = fleet.busiest_member(false);
     const std::string path = fleet.sidecars.folder_of(member) + "/held.db";
     fleet.apply("kill", {static_cast<double>(member)});
@@ -75,8 +76,8 @@
     }
     fleet.expect(flip_bit_of_row(fleet.sidecars.folder_of(other) + "/held.db"),
                  "there is no row to alter");
-    // A row that is written again before the scrub reads it is correct again; another is altered
-    // then.
+    // A row that is written again before the scrub reads it is correct again. Another row is
+    // corrupted then.
     fleet.expect(fleet.wait_until(15,
                                   [&] {
                                       if (reports_corruption(other)) {
--- a/tools/fault_tests/replication_scenarios_machine_loss.cpp
+++ b/tools/fault_tests/replication_scenarios_machine_loss.cpp
@@ -1,4 +1,4 @@
-// Replication scenarios: machines lost with their disks.
+// Replication scenarios: machines are lost with their disks.
 
 #include <fmt/format.h>
 
@@ -29,8 +29,8 @@
     return "unknown result";
 }
 
-// One request for the message of a failed check: its key, then of each attempt the sidecar, the
-// result, the seconds until its answer and the answer's text.
+// Formats a request for the message of a failed check: its key, then for each attempt the sidecar,
+// the result, the seconds until the answer and the answer's text.
 std::string attempts_of(const RepeatedRequest& request) {
     std::string text = "\n        " + request.key + ":";
     for (const Attempt& attempt : request.attempts) {
@@ -40,8 +40,8 @@
     return text;
 }
 
-// The machine of a sidecar is lost while its requests run at slow endpoints; their clients retry
-// elsewhere.
+// A sidecar's machine is lost while its requests are in flight at slow endpoints. The clients retry
+// at other sidecars.
 void lose_with_requests_in_flight(ReplicationFleet& fleet, int lost_member) {
     for (auto& endpoint : fleet.sidecars.endpoints) {
         endpoint->min_latency = 0.6;
@@ -53,7 +53,7 @@
     };
     std::vector<std::size_t> charges;
     std::vector<std::size_t> instalments;
-    // No more than the endpoints take at once.
+    // The number of requests is within the endpoints' concurrency limits.
     for (int i = 0; i < 6; ++i) {
         charges.push_back(fleet.clients.submit("charge", lost_sidecar, false));
         instalments.push_back(fleet.clients.submit("instalment", lost_sidecar, false));
@@ -64,8 +64,8 @@
         endpoint->min_latency = 0.004;
         endpoint->max_latency = 0.012;
     }
-    // Retried elsewhere at once: the first attempt may be running, and the other sidecar waits
-    // until it knows that its claimant is gone.
+    // The clients retry at once. The first attempt may still be running, and the other sidecar
+    // waits until it knows that the claimant of that attempt is gone.
     for (const auto* all : {&charges, &instalments}) {
         for (const std::size_t each : *all) {
             fleet.clients.retry(each, another_sidecar(each));
@@ -78,8 +78,8 @@
         }
     }
     fleet.run(2);
-    // How many of `requests` got `expected` from their last attempt; the attempts of the others are
-    // added to `others`.
+    // Counts the requests whose last attempt has the result `expected`. Appends the attempts of the
+    // others to `others`.
     const auto count_ended_with = [&](const std::vector<std::size_t>& requests, CallResult expected,
                                       std::string& others) {
         int count = 0;
@@ -106,7 +106,7 @@
 
 }  // namespace
 
-// The first machine is lost, whoever coordinates repairs.
+// The first machine is lost, whichever member is the repair coordinator.
 void charge_in_flight(ReplicationFleet& fleet) {
     lose_with_requests_in_flight(fleet, 1);
 }
@@ -118,7 +118,8 @@
     }
     lose_with_requests_in_flight(fleet, coordinator);
 }
-// The primary of most shards is lost, then another, each once the replicas are complete again.
+// The member that is primary of the most shards is lost, twice; the second loss follows once the
+// replicas are complete again.
 void primaries_lost(ReplicationFleet& fleet) {
     for (int i = 0; i < 2; ++i) {
         const int primary = fleet.busiest_member(true);
@@ -132,14 +133,15 @@
 }
 // Both machines of one place are lost.
 void place_lost(ReplicationFleet& fleet) {
-    // Members i and i + 3 are in one place.
+    // Members i and i + 3 are in the same place.
     fleet.lose_machine(2);
     fleet.lose_machine(5);
     fleet.run(2);
     fleet.apply("start", {2});
     fleet.apply("start", {5});
 }
-// Without planners there is no repair coordinator: placed shards serve on, a lost replica waits.
+// Without planners there is no repair coordinator. Shards that are placed still serve, and a lost
+// replica is repaired once the planners are back.
 void no_planners(ReplicationFleet& fleet) {
     for (int p = 1; p <= 3; ++p) {
         fleet.planners.apply({0, "kill", {static_cast<double>(p)}});
@@ -165,8 +167,8 @@
         fleet.apply("start", {static_cast<double>(i)});
     }
 }
-// More machines are lost than the replicas allow: an alarm is raised, nothing is taken for known,
-// and an operator ends it by giving the members up.
+// All replicas of a shard are lost. An alarm is raised, the shard's data is not assumed to be
+// known, and an operator resolves it by giving up the lost members.
 void too_many_machines_lost(ReplicationFleet& fleet) {
     fleet.apply("kill", {1});
     fleet.apply("kill", {2});
@@ -214,11 +216,13 @@
         fleet.apply("start", {each});
     }
 }
-// Two machines one after the other, the second while the replicas of the first are repaired.
+// Two machines are lost one after the other, the second while the replicas of the first are
+// repaired.
 void lost_in_repair(ReplicationFleet& fleet) {
     const int first = fleet.busiest_member(true);
     fleet.lose_machine(first);
-    fleet.run(1.8);  // gone, and repair has begun: it is slow here
+    // Until the member is declared gone and its repair has begun, which is slow in this scenario.
+    fleet.run(1.8);
     int second = first % fleet.options.members + 1;
     if (second % 3 == first % 3) {
         second = second % fleet.options.members + 1;
@@ -228,7 +232,7 @@
     fleet.apply("start", {static_cast<double>(first)});
     fleet.apply("start", {static_cast<double>(second)});
 }
-// The sealed epochs of a lost machine are known to the others.
+// The other members still know the sealed epochs of a lost machine.
 void epochs_kept(ReplicationFleet& fleet) {
     fleet.run(1);
     fleet.lose_machine(2);
--- a/tools/fault_tests/replication_scenarios_network.cpp
+++ b/tools/fault_tests/replication_scenarios_network.cpp
@@ -1,10 +1,11 @@
-// Replication scenarios: links cut or slow, processes stopped and restarted.
+// Replication scenarios: links are cut or slow, processes are stopped and restarted.
 
 #include "fault_tests/replication_scenario_list.hpp"
 
 namespace tideline::fault_tests {
 
-// A primary reaches only one of its replicas, and is lost then.
+// A primary is cut off from some members, so that a write reaches only part of its replicas, and is
+// then lost.
 void primary_lost_mid_replication(ReplicationFleet& fleet) {
     const int primary = fleet.busiest_member(true);
     for (int to = 1; to <= 3; ++to) {
@@ -18,7 +19,8 @@
     fleet.run(1.5);
     fleet.apply("start", {static_cast<double>(primary)});
 }
-// The primary's reply to a claim does not reach the claimant, which is then lost, or goes on.
+// The primary's reply to a claim is held back on a cut link. The claimant gets it once the link
+// heals, or is lost before.
 void claim_reply_delayed(ReplicationFleet& fleet) {
     const int primary = fleet.busiest_member(true);
     for (const bool claimant_lost : {false, true}) {
@@ -39,16 +41,16 @@
         fleet.wait_until_complete();
     }
 }
-// The links of the busiest primary take 3 s.
+// The links of the busiest primary have a delay of 3 s.
 void slow_links(ReplicationFleet& fleet) {
     fleet.apply("slow", {static_cast<double>(fleet.busiest_member(true)), 3.0});
     fleet.run(6);
     for (int i = 1; i <= fleet.options.members; ++i) {
         fleet.apply("slow", {static_cast<double>(i), 0.0});
     }
-    fleet.run(3.2);  // until what was delayed has arrived
+    fleet.run(3.2);  // until the delayed messages have arrived
 }
-// A primary is stopped while the table moves on, and resumed as primary no more.
+// A primary is stopped until another member is primary of its shards, and is then resumed.
 void stopped_primary(ReplicationFleet& fleet) {
     const double primary = fleet.busiest_member(true);
     fleet.apply("stop", {primary});
@@ -56,7 +58,7 @@
     fleet.apply("go", {primary});
     fleet.run(0.5);
 }
-// Each member ends in order and is started again.
+// The members are shut down and started again one after the other.
 void rolling_restart(ReplicationFleet& fleet) {
     for (int i = 1; i <= fleet.options.members; ++i) {
         const double number = i;
--- a/tools/fault_tests/scenario_report.cpp
+++ b/tools/fault_tests/scenario_report.cpp
@@ -16,7 +16,8 @@
 namespace {
 
 constexpr std::size_t kPrintedLogLines = 60;
-// s: beyond this, times of the logs and of the checks can't be compared closely.
+// The report prints the difference between the clocks of the logs and of the checks beyond this,
+// since their times can't be compared directly then.
 constexpr Seconds kMaxClockDifference = 0.01;
 
 bool is_counter_line(const std::string& line) {
@@ -25,7 +26,8 @@
            line.find(" rejections by reason: ") != std::string::npos;
 }
 
-// The last lines of all logs in the folders, by their time: what is left of a run in CI.
+// Prints the last lines of all logs in the folders, sorted by time. In CI this output is all that
+// remains of a run.
 void print_logs(const std::vector<std::string>& folders) {
     std::vector<std::string> lines;
     for (const std::string& folder : folders) {
--- a/tools/fault_tests/scenario_report.hpp
+++ b/tools/fault_tests/scenario_report.hpp
@@ -1,4 +1,4 @@
-// What one scenario found and measured, and the lines that are printed of it.
+// The result of one scenario, and how it is printed.
 #pragma once
 
 #include <string>
@@ -12,14 +12,15 @@
 struct ScenarioReport {
     std::string name;
     Seconds duration = 0;
-    std::string counts;  // printed behind the time; empty: nothing
+    std::string counts;  // printed after the duration; may be empty
     std::vector<std::pair<std::string, double>> figures;
     std::vector<std::string> violations;
-    std::vector<std::string> folders;  // with the logs of all processes
+    std::vector<std::string> folders;  // folders with the logs of all processes
 };
 
-// Prints one line of the scenario, and the first `most_violations` violations with the folders
-// below it. Removes the folders where nothing was violated. True where nothing was.
+// Prints one line for the scenario. If there are violations, prints the first
+// `max_printed_violations` of them, the folders and the last log lines, and returns false.
+// Otherwise removes the folders and returns true.
 bool print_report(const ScenarioReport& report, std::size_t max_printed_violations);
 
 }  // namespace tideline::fault_tests
--- a/tools/fault_tests/schedule.cpp
+++ b/tools/fault_tests/schedule.cpp
@@ -10,7 +10,7 @@
 namespace tideline::fault_tests {
 namespace {
 
-// How many numbers follow each action, and how many of them are members.
+// The number of arguments of each action, and how many of the first of them are members.
 const std::map<std::string, std::pair<std::size_t, std::size_t>> kEventForms = {
     {"kill", {1, 1}},
     {"start", {1, 1}},
@@ -31,7 +31,7 @@
     {"stage", {1, 0}},
     {"back", {0, 0}},
     {"release", {0, 0}},
-    // Of planners and holders.
+    // Events of planners and lease holders; "disk" also applies to sidecars with replication.
     {"mark", {1, 1}},
     {"release-task", {1, 1}},
     {"admit", {1, 1}},
--- a/tools/fault_tests/schedule.hpp
+++ b/tools/fault_tests/schedule.hpp
@@ -1,20 +1,32 @@
-// Events of a test with their times, one a line, read from a file or drawn from a seed:
-//   2.5 kill 3            the process ends at once          start 3, wipe 3 (its folder), term 3
-//   2.5 stop 3            SIGSTOP                           go 3 (SIGCONT)
-//   2.5 cut 1 2           from 1 to 2 only                  heal 1 2 (from 1 to 2), heal (all)
-//   2.5 split 6           members up to 6 from the rest, both ways
-//   2.5 slow 3 3.0        all that it sends and receives takes 3 s more
-//   2.5 mute 3            discovery and release platform send it nothing new   speak 3
-//   2.5 lie 3             its discovery sends revisions that the list never had
-//   2.5 pod, drain        one more endpoint, one that drains
-//   2.5 offer 42          the release platform offers a build     stage 1, back, release
-// With planners and holders of leases (--leases) members count from 1 through the planners, then
-// the holders:
-//   2.5 mark 7            SIGSTOP once, between its guard and its action; go 7
-//   2.5 release-task 7    gives its lease back for a while        take-away: an operator does
-//   2.5 admit 2           a planner whose disk was lost may vote again
-//   2.5 disk 2 1          its fsyncs fail; 2: full; 3: the time of day is an hour earlier;
-//                         0: no fault
+// Events of a fault test with their times in seconds, one per line, read from a file or drawn from
+// a seed. Members are numbered from 1.
+//   2.5 kill 3            kills the process (SIGKILL)
+//   2.5 start 3           starts the process
+//   2.5 wipe 3            removes its folder
+//   2.5 term 3            shuts the process down (SIGTERM)
+//   2.5 stop 3            stops the process (SIGSTOP)
+//   2.5 go 3              resumes the process (SIGCONT)
+//   2.5 cut 1 2           cuts the link from 1 to 2, in this direction only
+//   2.5 heal 1 2          heals the link from 1 to 2; "heal" without members heals all links
+//   2.5 split 6           cuts all links between the members up to 6 and the others, both ways
+//   2.5 slow 3 3.0        delays all that the member sends and receives by 3 s
+//   2.5 mute 3            discovery and release platform send it no changes
+//   2.5 speak 3           ends the mute
+//   2.5 lie 3             its discovery sends revisions that the endpoint list never had
+//   2.5 pod               adds an endpoint
+//   2.5 drain             one endpoint starts draining
+//   2.5 offer 42          the release platform offers a build
+//   2.5 stage 1           the release platform moves the build to a stage
+//   2.5 back              the release platform rolls the build back
+//   2.5 release           the release platform releases the build
+// With --leases the members are the planners, then the lease holders, and these events are added:
+//   2.5 mark 7            the holder stops itself once between guard and action, until "go 7"
+//   2.5 release-task 7    the holder releases its lease and acquires it again later
+//   2.5 take-away         an operator revokes the lease
+//   2.5 admit 2           an operator admits a planner whose disk was lost
+//   2.5 disk 2 1          sets a fault of the planner's disk or clock: 0 none, 1 each fsync fails,
+//                         2 the disk is full, 3 the wall clock is an hour behind
+// "disk" with the faults 0 to 2 also applies to sidecars with replication.
 #pragma once
 
 #include <cstdint>
@@ -29,19 +41,20 @@
     Seconds at = 0;
     std::string action;
     std::vector<double> arguments;
-    // As a whole number; 0 where there is none.
+    // Returns the argument as a whole number; 0 if there is none.
     int argument(std::size_t index) const {
         return index < arguments.size() ? static_cast<int>(arguments[index]) : 0;
     }
 };
 
-// The line of a schedule that reads as this event.
+// Formats the event as a line of a schedule.
 std::string text_of(const Event& event);
-// Events of one time stay in their order.
+// Sorts events by time; events of the same time keep their order.
 void sort_by_time(std::vector<Event>& events);
-// Throws std::runtime_error that names the line which is no event.
+// Parses a schedule and sorts it by time. Throws std::runtime_error with the number of an invalid
+// line.
 std::vector<Event> read_schedule(const std::string& text, int members);
-// Faults drawn from a seed, over `length` seconds.
+// Generates random faults from a seed over `length` seconds.
 std::vector<Event> random_sidecar_schedule(std::uint32_t seed, int members, Seconds length);
 
 }  // namespace tideline::fault_tests
--- a/tools/fault_tests/sidecar_cluster.cpp
+++ b/tools/fault_tests/sidecar_cluster.cpp
@@ -185,8 +185,8 @@
         start_member(i);
     }
     run(1);
-    // A request to a sidecar that does not listen yet is no request of it: on a loaded machine a
-    // process may take longer than that second to start.
+    // Clients must not send requests before all sidecars listen. On a loaded machine a process may
+    // take longer than a second to start.
     run_until(kStartTimeout, [this] { return all_listen(); });
     for (int i = 1; i <= options.members; ++i) {
         if (!members[static_cast<std::size_t>(i)].process->runs() || !is_listening(i)) {
--- a/tools/fault_tests/sidecar_cluster.hpp
+++ b/tools/fault_tests/sidecar_cluster.hpp
@@ -1,6 +1,6 @@
-// The sidecars of a fault test: real processes, each with its own listeners of discovery and
-// release platform and its own clients, the relay between them, endpoints that record requests; and
-// the record for the check.
+// The sidecars of a fault test: real processes, each with its own clients and its own listeners of
+// the fake discovery and release platform, the relay between them, endpoints that record requests,
+// and the record for the check.
 #pragma once
 
 #include <map>
@@ -24,28 +24,31 @@
     std::string program = "build/tideline";
     int members = 12;
     std::uint32_t seed = 1;
-    double rate = 15;                   // requests a second and member
-    bool without_cluster = false;       // sidecars that know nothing of each other
-    int small_frames_member = 0;        // this member takes frames up to 16 KB only; 0: none
-    int draining_entries = 0;           // in the endpoint list, to make it long
-    bool keep_folder = false;           // do not remove it at the end
-    std::vector<std::string> planners;  // their addresses; empty: no leased tasks
-    double warm_up = 0;                 // s: endpoints added later warm up for so long; 0: none do
-    // 0 replicas: no replication; min_replicas 0: as many as replicas
+    double rate = 15;                   // requests per second for each member
+    bool without_cluster = false;       // run sidecars without cluster membership
+    int small_frames_member = 0;        // this member accepts frames of up to 16 KB only; 0: none
+    int draining_entries = 0;           // additional entries that make the endpoint list long
+    bool keep_folder = false;           // the folder is not removed at the end
+    std::vector<std::string> planners;  // the planners' addresses; empty: no leased tasks
+    // The slow-start time, in seconds, of endpoints that are added later; 0: no slow start.
+    double warm_up = 0;
+    // The number of replicas of a record; 0: no replication.
     int replicas = 0;
+    // The minimum number for an acknowledged write; 0: the same as `replicas`.
     int min_replicas = 0;
-    // bytes a second; s
+    // The maximum rate of repairs, in bytes per second.
     double repair_rate = 2e6;
-    double scrub_interval = 3600;
-    double time_to_live = 60;  // s, of a record
+    double scrub_interval = 3600;  // in seconds
+    // How long a record is kept, in seconds.
+    double time_to_live = 60;
     bool allow_unreplicated = false;
     bool group_commit = true;
-    std::string faulty_disk;  // library with disk faults (faulty_disk.cpp); empty: none
+    std::string faulty_disk;  // the library with disk faults (faulty_disk.cpp); empty: none
 };
 
-// Times of the members in seconds; short, so that a test is.
+// The settings of the members in these tests, short so that the tests are short.
 constexpr Seconds kProbeInterval = 0.2;
-// A process that was started listens within that time, also on a loaded machine.
+// A started process listens within this time, even on a loaded machine.
 constexpr Seconds kStartTimeout = 20;
 constexpr Seconds kLagGracePeriod = 1;
 constexpr Seconds kExclusionDelay = 1.5;
@@ -54,7 +57,7 @@
 constexpr int kTrialBuild = 42;
 constexpr int kEndpointPort = 5432;
 
-// From one time to another; without an end it has not ended.
+// A time interval. While it lasts, `to` is a time in the far future.
 struct Interval {
     Seconds from = 0;
     Seconds to = 1e18;
@@ -62,14 +65,14 @@
         return at >= from && at < to;
     }
 };
-// What an audit shows of one member.
+// The state of one member in an audit.
 struct AuditRow {
     std::string state;
     std::string fault;
     std::uint64_t incarnation = 0;
     int trial_participation = 0;
 };
-// The answer of one member to an audit, asked for and answered between two times.
+// The answer of one member to an audit query, sent at `from` and answered at `to`.
 struct Audit {
     Seconds from = 0;
     Seconds to = 0;
@@ -78,39 +81,41 @@
     std::map<int, AuditRow> rows;
 };
 
-// Members count from 1. Used on the thread of the event loop, which must outlive it.
+// Members are numbered from 1. Must be used on the thread of the event loop, which must outlive the
+// cluster.
 class SidecarCluster {
   public:
     SidecarCluster(net::EventLoop& loop, const SidecarClusterOptions& options);
     ~SidecarCluster();
-    // Starts all members and their clients; throws std::runtime_error where one does not run.
+    // Starts all members and their clients. Throws std::runtime_error if a member does not start.
     void begin();
-    // Kills all members and waits for their ends: nobody writes to the folder afterwards.
+    // Kills all members and waits until they have exited, so that none writes to the folder
+    // afterwards.
     void end_processes();
-    // An event of a schedule, now.
+    // Applies an event of a schedule now; the event's time is ignored.
     void apply(const Event& event);
-    // Whether the sidecar's log says that it listens; of a sidecar that was restarted, whether it
-    // ever did.
+    // Whether the sidecar's log says that it listens. After a restart this also holds if only an
+    // earlier process listened.
     bool is_listening(int member) const;
     bool all_listen() const;
-    void run(Seconds duration);  // the loop
+    void run(Seconds duration);  // runs the event loop
     bool run_until(Seconds timeout, const std::function<bool()>& predicate);
-    // From now on audits one member after the other, a quarter of a second apart.
+    // Sends an audit query to one member after the other from now on, at intervals of 0.25 s.
     void start_audits();
     bool all_current(const Audit& audit) const;
     const Audit* newest_audit() const {
         return audits.empty() ? nullptr : &audits.back();
     }
     std::string log_of(int member) const;
-    std::string folder_of(int member) const;  // its disk
-    long memory_of(int member) const;         // KB resident
-    double cpu_of(int member) const;          // s
+    std::string folder_of(int member) const;  // the folder with the member's stored data
+    long memory_of(int member) const;         // resident memory in KB
+    double cpu_of(int member) const;          // CPU time in seconds
     std::size_t descriptors_of(int member) const;
 
     struct Member {
         std::unique_ptr<fakes::Process> process = std::make_unique<fakes::Process>();
         std::unique_ptr<fakes::FakeClients> clients;
-        std::vector<Interval> up_intervals;  // the process runs, and is not stopped
+        std::vector<Interval> up_intervals;  // when the process ran and was not stopped
         std::vector<Interval> muted_intervals;
         int discovery_listener = -1;
         int platform_listener = -1;
@@ -125,29 +130,33 @@
     fakes::FakeReleasePlatform platform;
     std::vector<std::unique_ptr<fakes::FakeEndpoint>> endpoints;
     fakes::Effects effects;
-    std::vector<Member> members;  // [0] is not used
+    std::vector<Member> members;  // index 0 is not used
     NetworkRelay relay;
     std::vector<Audit> audits;
-    std::vector<std::pair<Seconds, double>> caps;  // of the trial build, with their times
+    // The caps of the trial build with the times from which they hold.
+    std::vector<std::pair<Seconds, double>> caps;
     std::map<NetworkRelay::Direction, std::vector<Interval>> cuts;
 
   private:
     void start_member(int member);
-    std::string path_of(int member) const;  // of its files, without their ending
+    // The path of the member's files without their extension.
+    std::string path_of(int member) const;
     nlohmann::json settings_of(int member) const;
     std::string cluster_config_of(int member) const;
-    std::string planners_config() const;     // the group of the operator file; empty: none
-    std::string replication_config() const;  // likewise
+    // The groups "planners" and "copies" of the operator file; empty if the test has none.
+    std::string planners_config() const;
+    std::string replication_config() const;
     void mark_down(int member);
     void mark_up(int member);
-    bool stop(int member);    // false: does not run
-    bool resume(int member);  // false: was not stopped, or has ended
+    bool stop(int member);    // returns false if it does not run
+    bool resume(int member);  // returns false if it was not stopped or has exited
     void terminate(int member);
-    // Each applies the actions of its subject; false where nothing was changed.
+    // Each applies the events of its subject. Returns false for other events, and if nothing
+    // changed.
     bool apply_to_process(const Event& event);
     bool apply_to_links(const Event& event);
     bool apply_to_inputs(const Event& event);
-    bool drain_endpoint();  // false: too few are ready
+    bool drain_endpoint();  // returns false if too few are ready
     void mute(int member, bool muted);
     void cut(int from, int to);
     void heal(int from, int to);
@@ -155,7 +164,7 @@
     void request_audit(int by);
     net::Timers::Id audit_timer_ = net::Timers::kNone;
     std::map<int, std::unique_ptr<cluster::MembersQuery>> queries_;
-    std::vector<std::string> ready_;  // ids of endpoints that are listed as ready
+    std::vector<std::string> ready_;  // IDs of the endpoints that are listed as ready
     int last_audited_ = 0;
 };
 
--- a/tools/fault_tests/sidecar_cluster_audit.cpp
+++ b/tools/fault_tests/sidecar_cluster_audit.cpp
@@ -1,4 +1,4 @@
-// The cluster of sidecars: audits, one member after the other.
+// SidecarCluster: sends audit queries to one member after the other and records the answers.
 
 #include "fault_tests/sidecar_cluster.hpp"
 
@@ -8,8 +8,8 @@
 
 using namespace fakes;
 
-constexpr Seconds kAuditInterval = 0.25;  // s: from one audit to the next
-constexpr Seconds kAuditTimeout = 4;      // s: an audit that takes longer is not complete
+constexpr Seconds kAuditInterval = 0.25;  // from one audit query to the next
+constexpr Seconds kAuditTimeout = 4;      // an audit that takes longer is recorded as incomplete
 
 }  // namespace
 
--- a/tools/fault_tests/sidecar_cluster_faults.cpp
+++ b/tools/fault_tests/sidecar_cluster_faults.cpp
@@ -1,4 +1,4 @@
-// The cluster of sidecars: events applied to processes, links, discovery and platform.
+// SidecarCluster: applies events to processes, links, discovery and the release platform.
 
 #include <fmt/format.h>
 
@@ -17,7 +17,7 @@
 
 using namespace fakes;
 
-constexpr Seconds kShutdownGrace = 0.7;  // s: a process lives on after SIGTERM
+constexpr Seconds kShutdownGrace = 0.7;  // a process still serves for this time after SIGTERM
 
 }  // namespace
 
@@ -73,7 +73,7 @@
     Member& member = members[static_cast<std::size_t>(number)];
     mark_down(number);
     if (!member.up_intervals.empty()) {
-        member.up_intervals.back().to += kShutdownGrace;  // it serves on for a while
+        member.up_intervals.back().to += kShutdownGrace;  // it still serves during its shutdown
     }
     member.is_terminating = true;
     member.process->signal(SIGTERM);
--- a/tools/fault_tests/sidecar_scenario_list.hpp
+++ b/tools/fault_tests/sidecar_scenario_list.hpp
@@ -1,5 +1,5 @@
-// The fixed scenarios of a fleet of sidecars, by subject. Each runs its faults on a fleet whose
-// members are all current; what did not hold is in the run's violations.
+// The fixed scenarios of a fleet of sidecars, by subject. Each injects its faults into a fleet
+// whose members are all current, and adds what it finds to the violations of the run.
 #pragma once
 
 #include "fault_tests/sidecar_scenario_run.hpp"
--- a/tools/fault_tests/sidecar_scenario_run.hpp
+++ b/tools/fault_tests/sidecar_scenario_run.hpp
@@ -1,4 +1,4 @@
-// One scenario of a fleet of sidecars: the cluster, what did not hold and what was measured.
+// One scenario of a fleet of sidecars: the cluster, its violations and its measurements.
 #pragma once
 
 #include <functional>
@@ -11,14 +11,15 @@
 
 namespace tideline::fault_tests {
 
-constexpr Seconds kSettleTimeout = 25;  // s: after all is healed
+// After all faults are undone all members are current again within this time.
+constexpr Seconds kSettleTimeout = 25;
 
 struct ScenarioResult {
     std::vector<std::string> violations;
     std::vector<std::pair<std::string, double>> figures;
 };
 
-// The scenario's faults use it; its result is printed afterwards.
+// Passed to the function that injects the scenario's faults. The result is printed afterwards.
 class SidecarScenarioRun {
   public:
     explicit SidecarScenarioRun(const SidecarClusterOptions& options) : cluster(loop, options) {}
@@ -46,8 +47,8 @@
     bool all_members_current() const {
         return cluster.newest_audit() && cluster.all_current(*cluster.newest_audit());
     }
-    // Waits until an audit asked for from now on fulfils the condition; seconds waited. A violation
-    // where none does within `most` seconds.
+    // Waits until an audit that is queried from now on fulfils the predicate, and returns the time
+    // waited. Adds a violation if none does within `timeout`. `condition` describes the predicate.
     Seconds wait_until(const std::string& condition, Seconds timeout,
                        const std::function<bool(const Audit&)>& predicate) {
         const Seconds from = net::clock_now();
@@ -64,7 +65,7 @@
         add_figure(condition + ", s", net::clock_now() - from);
         return net::clock_now() - from;
     }
-    // Of a member as the audit shows it; empty: not shown.
+    // Returns the state of a member in the audit; empty if the audit does not show it.
     static std::string state_of(const Audit& audit, int member) {
         const auto it = audit.rows.find(member);
         return it == audit.rows.end() ? "" : it->second.state;
@@ -76,7 +77,7 @@
         wait_until("all current, asked elsewhere", kSettleTimeout,
                    [&](const Audit& audit) { return cluster.all_current(audit); });
     }
-    // Stops the clients and checks the whole record.
+    // Stops the clients and checks the complete record.
     void stop_and_check() {
         for (std::size_t i = 1; i < cluster.members.size(); ++i) {
             cluster.members[i].clients->stop();
--- a/tools/fault_tests/sidecar_scenarios.cpp
+++ b/tools/fault_tests/sidecar_scenarios.cpp
@@ -81,7 +81,7 @@
     for (const auto& [name, inject_faults] : kScenarios) {
         if (scenario == name || scenario == "all") {
             ++scenarios_run;
-            // A long endpoint list, and one member that takes small frames only.
+            // The endpoint list is longer than the frames that one of the members accepts.
             SidecarClusterOptions adjusted = options;
             if (name == "shut-out") {
                 adjusted.small_frames_member = 4;
--- a/tools/fault_tests/sidecar_scenarios.hpp
+++ b/tools/fault_tests/sidecar_scenarios.hpp
@@ -1,5 +1,5 @@
-// The fault tests of a fleet of sidecars: fixed scenarios, schedules of events, and what the fleet
-// costs a sidecar.
+// The fault tests of a fleet of sidecars: fixed scenarios, schedules of events, and a measurement
+// of what cluster membership costs a sidecar.
 #pragma once
 
 #include <string>
@@ -10,15 +10,15 @@
 namespace tideline::fault_tests {
 
 std::vector<std::string> sidecar_scenario_names();
-// `scenario`: one of the fixed ones, or all. False where something did not hold; `scenarios_run`
-// counts them.
+// Runs the scenario of that name, or all of them for "all". Adds the number of scenarios run to
+// `scenarios_run`. Returns false if a check failed.
 bool run_sidecar_scenarios(const SidecarClusterOptions& options, const std::string& scenario,
                            int& scenarios_run);
-// The events in their order, then the check of the whole record. False where something did not
-// hold.
+// Applies the events in order, then checks the complete record. Returns false if a check failed.
 bool run_sidecar_schedule(const SidecarClusterOptions& options, const std::string& name,
                           const std::vector<Event>& events);
-// What the fleet costs a sidecar: the same load with it off and on.
+// Measures CPU time, memory and descriptors of a sidecar under the same load, without cluster
+// membership and with it.
 void measure_sidecar_cost(SidecarClusterOptions options);
 
 }  // namespace tideline::fault_tests
--- a/tools/fault_tests/sidecar_scenarios_membership.cpp
+++ b/tools/fault_tests/sidecar_scenarios_membership.cpp
@@ -1,4 +1,4 @@
-// Sidecar scenarios: members that lag, die, are cut off, slow or stopped.
+// Sidecar scenarios: members that lag, are killed, cut off, slow or stopped.
 
 #include <fmt/format.h>
 
@@ -17,8 +17,8 @@
 
 }  // namespace
 
-// Discovery and release platform of a member fall silent while both change: peers transfer the
-// state it lacks.
+// A member's discovery and release platform send it nothing while both change. Its peers transfer
+// the state that it lacks.
 void lagging_member_updated(SidecarScenarioRun& run) {
     offer(run);
     run.cluster.apply({0, "mute", {5}});
@@ -34,7 +34,7 @@
     run.cluster.apply({0, "speak", {5}});
 }
 
-// A member that sends but receives nothing: no peer can transfer state to it, or query it. It stops
+// A member sends but receives nothing, so no peer can transfer state to it or query it. It stops
 // taking part in the trial by itself.
 void receives_nothing(SidecarScenarioRun& run) {
     offer(run);
@@ -57,8 +57,9 @@
     run.cluster.apply({0, "speak", {4}});
 }
 
-// A member lags, and the state it lacks is longer than the frames it takes. It is shut out, sends
-// nothing to the trial, and is admitted once its own discovery sends changes again.
+// A member lags, and the state that it lacks is longer than the frames that it accepts. It is
+// excluded, sends no requests to the trial build, and is readmitted once its own discovery sends
+// changes again.
 void lagging_member_excluded(SidecarScenarioRun& run) {
     offer(run);
     run.cluster.apply({0, "mute", {4}});
@@ -82,7 +83,8 @@
     run.wait_until("it is let in again", 15, state_is("current"));
 }
 
-// The discovery of one member sends revisions that the list never had.
+// The discovery of one member sends revisions that the endpoint list never had. No other member may
+// be declared lagging because of that.
 void false_revisions(SidecarScenarioRun& run) {
     run.cluster.apply({0, "lie", {7}});
     for (int i = 0; i < 8; ++i) {
@@ -99,7 +101,7 @@
     }
 }
 
-// A partition into two halves, which heals without an operator.
+// The cluster is partitioned into two halves, and recovers without an operator once the links heal.
 void partition(SidecarScenarioRun& run) {
     const int half = run.cluster.options.members / 2;
     run.cluster.apply({0, "split", {static_cast<double>(half)}});
@@ -117,7 +119,7 @@
     run.cluster.apply({0, "heal", {}});
 }
 
-// A member is killed and restarted, with its disk and without.
+// A member is killed and restarted, first with its disk and then without.
 void member_restarted(SidecarScenarioRun& run) {
     const auto incarnation = [&](int member) {
         const Audit* audit = run.cluster.newest_audit();
@@ -140,7 +142,8 @@
     }
 }
 
-// The links of one member take 3 s each way; no other member may be declared gone.
+// The links of one member have a delay of 3 s in each direction. No other member may be declared
+// gone.
 void slow(SidecarScenarioRun& run) {
     run.cluster.apply({0, "slow", {6, 3}});
     const Seconds from = net::clock_now();
@@ -157,7 +160,8 @@
     run.cluster.apply({0, "slow", {6, 0}});
 }
 
-// A member is stopped for longer than it takes to be declared gone, and resumed.
+// A member is stopped until it is declared gone, and then resumed. It must not declare the others
+// gone.
 void member_stopped(SidecarScenarioRun& run) {
     run.cluster.apply({0, "stop", {2}});
     run.wait_until("one that stands still is held for gone", 15, [&](const Audit& audit) {
--- a/tools/fault_tests/stored_records_cost.cpp
+++ b/tools/fault_tests/stored_records_cost.cpp
@@ -1,5 +1,5 @@
-// What stored records take of memory and disk, and how long storing and reading them takes. Without
-// other processes.
+// Measures the memory and disk space of stored records, and how long it takes to store and read
+// them, in this process alone.
 #include <fmt/format.h>
 #include <poll.h>
 #include <stdlib.h>
@@ -44,7 +44,7 @@
     void on_alarm(const std::string&) override {}
 };
 
-// Bytes of memory that this process has resident.
+// Returns the resident memory of this process.
 double resident_bytes() {
     std::ifstream file("/proc/self/status");
     for (std::string field; file >> field;) {
@@ -66,7 +66,7 @@
         {static_cast<std::uint64_t>(i) * 0x9e3779b97f4a7c15ULL, static_cast<std::uint64_t>(i)}};
     record.version = {TableVersion{1}, static_cast<std::uint64_t>(i)};
     record.answered = true;
-    record.answer = std::string(90, 'a');  // about the answer to a charge
+    record.answer = std::string(90, 'a');  // about the size of the answer to a charge
     AttemptRecord attempt;
     attempt.owner = {Name{"n1"}, Incarnation{1}, static_cast<std::uint64_t>(i)};
     attempt.outcome = AttemptOutcome::answered;
@@ -81,7 +81,7 @@
     }
 }
 
-// Stores records in a folder and reads them back.
+// Stores records in a folder and reads them back, with measurements of both.
 class StoredRecordsCost {
   public:
     StoredRecordsCost(std::string folder, int count) : folder_(std::move(folder)), count_(count) {}
--- a/tools/fault_tests/violations.hpp
+++ b/tools/fault_tests/violations.hpp
@@ -1,4 +1,4 @@
-// What a check found: the first of them, as lines for the test's output.
+// Collects the violations that a check found, as lines for the test's output.
 #pragma once
 
 #include <string>
@@ -9,13 +9,13 @@
 
 class Violations {
   public:
-    // Keeps the line; past kMost further ones are dropped.
+    // Adds a line; beyond kMaxViolations further lines are dropped.
     void add(std::string line) {
         if (lines_.size() < kMaxViolations) {
             lines_.push_back(std::move(line));
         }
     }
-    // Adds a line "<process>: <line of its log>" for each kind of crash report in `log`.
+    // Adds a line "<process>: <log line>" for the first crash report of each kind in `log`.
     void add_crashes(const std::string& process, const std::string& log);
     const std::vector<std::string>& lines() const {
         return lines_;
