--- a/tools/fault_tests/planner_cluster_run.hpp
+++ b/tools/fault_tests/planner_cluster_run.hpp
@@ -18,7 +18,7 @@
 constexpr Seconds kGrantorWaitDuration =
     kLeaseDuration * (1 + kMaxClockDrift) / (1 - kMaxClockDrift);
 // The exit status of a planner after a fatal error, such as a failed disk.
-constexpr int kExitDiskFailed = 3;
+constexpr int kExitFatal = 3;
 
 // Passed to the function that injects the scenario's faults. Violations and measured figures are
 // printed afterwards.
