--- a/tools/fault_tests/check.cpp
+++ b/tools/fault_tests/check.cpp
@@ -84,10 +84,10 @@
         const SidecarCluster::Member& member = cluster.members[static_cast<std::size_t>(i)];
         for (const ClientRequest& each : member.clients->requests) {
             if (each.answers > 1) {
-                violations.add(fmt::format("n{}: {} answers to one invocation", i, each.answers));
+                violations.add(fmt::format("n{}: {} answers to one request", i, each.answers));
             }
             if (each.result == CallResult::wrong) {
-                violations.add(fmt::format("n{}: another's value as an answer", i));
+                violations.add(fmt::format("n{}: an answer with the value of another request", i));
             }
             const Seconds end = each.sent_at + each.time_limit + 0.1;
             if (!was_up_throughout(member, each.sent_at, end + kShutdownGrace) ||
@@ -95,10 +95,11 @@
                 continue;
             }
             if (each.answers == 0) {
-                violations.add(fmt::format("n{}: no answer to an invocation of {:.3f}", i,
+                violations.add(fmt::format("n{}: no answer to the request sent at {:.3f}", i,
                                            each.sent_at - cluster.start));
             } else if (each.latency > each.time_limit + 0.1) {
-                violations.add(fmt::format("n{}: an answer after {:.3f} s", i, each.latency));
+                violations.add(fmt::format(
+                    "n{}: an answer came after {:.3f} s, beyond its time limit", i, each.latency));
             }
         }
     }
@@ -114,7 +115,7 @@
     for (const auto& endpoint : cluster.endpoints) {
         for (const ReceivedRequest& received : endpoint->received) {
             if (received.request_class == "charge" && ++charges[received.request_id] == 2) {
-                violations.add("charge " + received.request_id + " ran twice");
+                violations.add("charge " + received.request_id + " took effect twice");
             }
             if (endpoint->build == kTrialBuild) {
                 trial[std::stoi(received.tenant.substr(1))].push_back(received.at);
@@ -150,8 +151,9 @@
         const Seconds to = s + 1 < participation.size() ? participation[s + 1].at : 1e18;
         for (const Seconds at : times) {
             if (at > from && at < std::min(to, open_until)) {
-                violations.add(fmt::format("n{}: a trial dispatch {:.2f} s after it stood aside", i,
-                                           at - participation[s].at));
+                violations.add(fmt::format(
+                    "n{}: dispatched to the trial build {:.2f} s after it left the trial", i,
+                    at - participation[s].at));
             }
         }
     }
@@ -204,8 +206,9 @@
         const double limit =
             kExposureAllowance + std::min(1.0, cap) * static_cast<double>(request_count);
         if (static_cast<double>(dispatch_count) > 1.04 * limit + 2) {
-            violations.add(fmt::format("n{}: {} trial dispatches of {} taken in {} s, cap {}", i,
-                                       dispatch_count, request_count, kExposureWindow, cap));
+            violations.add(
+                fmt::format("n{}: {} of {} requests dispatched to the trial build in {} s, cap {}",
+                            i, dispatch_count, request_count, kExposureWindow, cap));
         }
     }
 }
@@ -225,20 +228,20 @@
             }
             if (!was_up_at_some_time(cluster.members[static_cast<std::size_t>(i)],
                                      audit.from - 0.05, audit.to)) {
-                violations.add(fmt::format("n{} shows n{} as {} at {:.2f}, which was not there",
+                violations.add(fmt::format("n{} shows n{} as {} at {:.2f}, while it was down",
                                            audit.asked_member, i, row.state,
                                            audit.from - cluster.start));
             }
             if (was_cut_throughout(cluster, audit.asked_member, i, audit.from, audit.to)) {
-                violations.add(
-                    fmt::format("n{} shows n{} as {} at {:.2f}, from which it was cut off",
-                                audit.asked_member, i, row.state, audit.from - cluster.start));
+                violations.add(fmt::format(
+                    "n{} shows n{} as {} at {:.2f}, while the link between them was cut",
+                    audit.asked_member, i, row.state, audit.from - cluster.start));
             }
         }
         if (excluded_count > bound) {
-            violations.add(fmt::format("n{} shows {} shut out at {:.2f}, {} at most",
-                                       audit.asked_member, excluded_count,
-                                       audit.from - cluster.start, bound));
+            violations.add(
+                fmt::format("n{} shows {} members as shut out at {:.2f}; the limit is {}",
+                            audit.asked_member, excluded_count, audit.from - cluster.start, bound));
         }
     }
 }
--- a/tools/fault_tests/lease_grant_cost.cpp
+++ b/tools/fault_tests/lease_grant_cost.cpp
@@ -164,7 +164,7 @@
     }
     sqlite3_close(db);
     std::sort(times.begin(), times.end());
-    fmt::print("| one SQLite file, no copies | 1 | {:.0f} | {:.2f} | {:.2f} | | |\n",
+    fmt::print("| one SQLite file, no replicas | 1 | {:.0f} | {:.2f} | {:.2f} | | |\n",
                static_cast<double>(grants) / duration, 1e3 * times[times.size() / 2],
                1e3 * times[times.size() * 99 / 100]);
 }
@@ -193,7 +193,7 @@
         planner::RaftStorage raft_storage(folder + "/a", cluster::Name{"p"}, 1,
                                           planner::RaftStorage::JournalMode::rollback);
         measure_writes(
-            "SQLite, rollback journal (chosen)",
+            "SQLite, rollback journal (used by planners)",
             [&](auto at) { raft_storage.persist({make_persist_request(at)}); }, duration);
     }
     {
@@ -208,7 +208,7 @@
     const int fd = ::open((folder + "/log").c_str(), O_CREAT | O_WRONLY | O_APPEND, 0600);
     const std::string frame = cluster::frame_of(std::string(60, 'x'));
     measure_writes(
-        "own frames with XXH3, append and fdatasync",
+        "custom frames with XXH3, append and fdatasync",
         [&](auto) {
             static_cast<void>(::write(fd, frame.data(), frame.size()) && ::fdatasync(fd));
         },
@@ -243,23 +243,23 @@
 void measure_grants(const PlannerClusterOptions& options, Seconds duration) {
     char name[] = "/tmp/tideline-grants-XXXXXX";
     if (!::mkdtemp(name)) {
-        throw std::runtime_error("no folder under /tmp");
+        throw std::runtime_error("can't create a folder under /tmp");
     }
     const std::string folder = name;
     fmt::print(
-        "one record of 60 bytes made to last, {} s each\n\n| way | a second | ms each |\n| --- | "
-        "--- | --- "
-        "|\n",
+        "one record of 60 bytes stored durably, {} s for each row\n\n"
+        "| store | records per second | ms per record |\n"
+        "| --- | --- | --- |\n",
         duration);
     measure_sqlite(folder, duration);
     measure_custom_log(folder, duration);
     measure_lmdb(folder, duration);
     fmt::print(
-        "\n{} s a row; times from a take to its grant\n\n"
-        "| way | at once | grants a second | median, ms | p99, ms | fsyncs a grant, leader | CPU "
-        "of the "
-        "leader, ms a "
-        "grant |\n| --- | --- | --- | --- | --- | --- | --- |\n",
+        "\n{} s for each row; times from a request to its grant\n\n"
+        "| store | requests at once | grants per second | median, ms | p99, ms | fsyncs per grant, "
+        "leader "
+        "| CPU of the leader, ms per grant |\n"
+        "| --- | --- | --- | --- | --- | --- | --- |\n",
         duration);
     measure_single_database(folder, duration);
     for (const int count : {3, 5}) {
--- a/tools/fault_tests/lease_holder.cpp
+++ b/tools/fault_tests/lease_holder.cpp
@@ -110,14 +110,14 @@
     std::string target;
     std::string mark_path;
     std::vector<std::string> planners;
-    CLI::App app("A member that does one task under a lease, for the rig.",
-                 "tideline_lease_holder");
+    CLI::App app("Repeats one action under a lease, for the fault tests.", "tideline_lease_holder");
     app.add_option("--name", name)->required();
-    app.add_option("--address", address, "the host it comes from, with any port")->required();
+    app.add_option("--address", address, "address to connect from; the port is ignored")
+        ->required();
     app.add_option("--planners", planners)->required();
-    app.add_option("--target", target, "host:port that its acts go to")->required();
+    app.add_option("--target", target, "host:port that the actions are sent to")->required();
     app.add_option("--mark", mark_path,
-                   "while this file is there, it stands still between guard and act, once");
+                   "if this file exists, stop once between the guard and the action");
     CLI11_PARSE(app, argc, argv);
     net::Log log;
     net::EventLoop loop;
--- a/tools/fault_tests/main.cpp
+++ b/tools/fault_tests/main.cpp
@@ -84,7 +84,7 @@
             command_line.length, machines_lost, duplicate_effects);
     }
     if (command_line.seeds > 0) {
-        fmt::print("copies{}: {} machines lost with their disks, {} effects too many\n",
+        fmt::print("copies{}: {} machines lost with their disks, {} duplicate effects\n",
                    command_line.replication.without_replication ? " off" : "", machines_lost,
                    duplicate_effects);
     }
--- a/tools/fault_tests/network_relay.cpp
+++ b/tools/fault_tests/network_relay.cpp
@@ -55,7 +55,7 @@
         listeners_.push_back(std::make_unique<net::Listener>(
             loop, [this, to](int fd) { accept_connection(to, fd); }));
         if (!listeners_.back()->listen(fakes::at_port(to, kClusterPort, kDialedNetwork))) {
-            throw std::runtime_error("the relay can't listen");
+            throw std::runtime_error("the relay can't listen on its addresses");
         }
     }
 }
--- a/tools/fault_tests/planner_cluster.cpp
+++ b/tools/fault_tests/planner_cluster.cpp
@@ -61,11 +61,11 @@
       stopped_(static_cast<std::size_t>(options.planners + options.holders) + 1, false) {
     char name[] = "/tmp/tideline-rig-XXXXXX";
     if (!::mkdtemp(name)) {
-        throw std::runtime_error("no folder under /tmp");
+        throw std::runtime_error("can't create a folder under /tmp");
     }
     folder = name;
     if (!target_.listen(at_port(kTargetHost, kTargetPort))) {
-        throw std::runtime_error("the target can't listen");
+        throw std::runtime_error("the target can't listen on its address");
     }
     for (std::size_t i = 0; i < stopped_.size(); ++i) {
         processes.push_back(std::make_unique<Process>());
@@ -160,13 +160,13 @@
     }
     if (!run_until(kFormationTimeout,
                    [&] { return is_healthy() && (options.holders == 0 || !actions.empty()); })) {
-        throw std::runtime_error("the planners did not come together");
+        throw std::runtime_error("the planners did not elect a leader or grant the lease in time");
     }
     // Scenarios rely on a waiting successor: a lease that is revoked while no other holder waits
     // for it is granted to its former holder again. A holder that requested the lease before the
     // planners had a leader repeats its request only after a backoff of up to 4 s.
     if (!run_until(kFormationTimeout, [&] { return options.holders == 0 || all_holders_wait(); })) {
-        throw std::runtime_error("the holders do not wait for the lease");
+        throw std::runtime_error("not all other holders wait for the lease");
     }
 }
 
--- a/tools/fault_tests/planner_cluster_check.cpp
+++ b/tools/fault_tests/planner_cluster_check.cpp
@@ -20,15 +20,16 @@
     for (const TaskAction& action : cluster.actions) {
         const auto [it, inserted] = holders.try_emplace(action.fencing_token, action.holder);
         if (it->second != action.holder) {
-            violations.add(fmt::format("fence {} of both {} and {}", action.fencing_token,
+            violations.add(fmt::format("token {} was used by both {} and {}", action.fencing_token,
                                        it->second, action.holder));
         }
         if (!action.accepted) {
             continue;
         }
         if (action.fencing_token < highest) {
-            violations.add(fmt::format("an act of {} under fence {} took effect after one under {}",
-                                       action.holder, action.fencing_token, highest));
+            violations.add(
+                fmt::format("an action of {} under token {} took effect after one under token {}",
+                            action.holder, action.fencing_token, highest));
         }
         highest = std::max(highest, action.fencing_token);
     }
@@ -60,11 +61,12 @@
         }
         const TaskAction* other = std::prev(later)->second;
         if (other->fencing_token > action->fencing_token) {
-            violations.add(fmt::format(
-                "the guard of {} says yes under fence {}, {:.3f} s after that of {} under {}",
-                action->holder, action->fencing_token,
-                action->checked_after - other->checked_before, other->holder,
-                other->fencing_token));
+            violations.add(
+                fmt::format("the guard of {} allowed an action under token {}, {:.3f} s after that "
+                            "of {} allowed one under token {}",
+                            action->holder, action->fencing_token,
+                            action->checked_after - other->checked_before, other->holder,
+                            other->fencing_token));
         }
     }
 }
@@ -76,7 +78,7 @@
     check_tokens(cluster, violations);
     check_guards(cluster, violations);
     for (const auto& [node, status] : cluster.ended) {
-        violations.add(fmt::format("{} ended with status {}", cluster.name_of(node), status));
+        violations.add(fmt::format("{} exited with status {}", cluster.name_of(node), status));
     }
     for (int i = 1; i <= cluster.options.planners + cluster.options.holders; ++i) {
         violations.add_crashes(cluster.name_of(i), cluster.log_of(i));
--- a/tools/fault_tests/replication_cost.cpp
+++ b/tools/fault_tests/replication_cost.cpp
@@ -272,33 +272,27 @@
 
 void measure_replicated_requests(const ReplicationOptions& options, Seconds duration) {
     fmt::print(
-        "{} sidecars, {} charges a second together, {:.0f} s a row; then {} callers that ask again "
-        "at once, "
-        "{:.0f} s\n\n"
-        "| copies | p10, ms | p50 | p90 | p99 | worst | CPU, ms a charge | bytes a charge | fsyncs "
-        "a charge "
-        "| charges a "
-        "second at saturation | p50 there, ms | p99 |\n"
+        "{} sidecars, {} charges per second in total, {:.0f} s for each row; "
+        "then {} clients that each send the next charge at once, {:.0f} s\n\n"
+        "| replicas | p10, ms | p50 | p90 | p99 | worst | CPU, ms per charge | bytes per charge "
+        "| fsyncs per charge | charges per second at saturation | p50 at saturation, ms | p99 |\n"
         "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n",
         options.members, kChargesPerSecond, duration, kSaturatingClients, duration);
     for (const RequestRow& row :
          {RequestRow{"off", 0, true}, RequestRow{"1", 1, true}, RequestRow{"2", 2, true},
-          RequestRow{"3", 3, true}, RequestRow{"2, an fsync each", 2, false}}) {
+          RequestRow{"3", 3, true}, RequestRow{"2, an fsync for each record", 2, false}}) {
         measure_request_row(options, row, duration);
     }
 }
 
 void measure_repair(const ReplicationOptions& options) {
     fmt::print(
-        "2 copies, {} sidecars; a machine lost with its disk, not started again; {} charges a "
-        "second "
-        "meanwhile\n\n"
-        "| held, records | at the lost one | whole again, s | of which until it is known as gone, "
-        "s | p50 "
-        "before, ms | "
-        "p99 | p50 meanwhile | p99 | throttled meanwhile |\n| --- | --- | --- | --- | --- | --- | "
-        "--- | --- "
-        "| --- |\n",
+        "2 replicas, {} sidecars; a machine is lost with its disk and not started again; "
+        "{} charges per second meanwhile\n\n"
+        "| stored records | at the lost member | complete again, s | of which until it is declared "
+        "gone, s "
+        "| p50 before, ms | p99 | p50 meanwhile | p99 | rejected meanwhile |\n"
+        "| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n",
         options.members, kChargesPerSecond);
     for (const int record_count : {1000, 5000, 20000, 50000}) {
         measure_repair_row(options, record_count);
--- a/tools/fault_tests/replication_scenarios.cpp
+++ b/tools/fault_tests/replication_scenarios.cpp
@@ -99,9 +99,10 @@
     const ScenarioReport report{
         name,
         net::clock_now() - started,
-        fmt::format("{} requests, {} attempts, {} succeeded; {} machines lost, {} effects too many",
-                    fleet.clients.requests.size(), attempts, succeeded, fleet.machines_lost,
-                    fleet.duplicate_effects),
+        fmt::format(
+            "{} requests, {} attempts, {} succeeded; {} machines lost, {} duplicate effects",
+            fleet.clients.requests.size(), attempts, succeeded, fleet.machines_lost,
+            fleet.duplicate_effects),
         fleet.figures,
         fleet.violations,
         {fleet.sidecars.folder, fleet.planners.folder}};
--- a/tools/fault_tests/schedule.cpp
+++ b/tools/fault_tests/schedule.cpp
@@ -73,12 +73,13 @@
         const bool heals_all_links = event.action == "heal" && event.arguments.empty();
         if (!has_time_and_action || !fields.eof() || known == kEventForms.end() ||
             (!heals_all_links && event.arguments.size() != known->second.first)) {
-            throw std::runtime_error(fmt::format("line {}: no event: {}", line_number, line));
+            throw std::runtime_error(
+                fmt::format("line {}: not a valid event: {}", line_number, line));
         }
         for (std::size_t i = 0; i < known->second.second && i < event.arguments.size(); ++i) {
             if (event.arguments[i] < 1 || event.arguments[i] > members) {
                 throw std::runtime_error(
-                    fmt::format("line {}: there is no member {}", line_number, event.arguments[i]));
+                    fmt::format("line {}: no such member: {}", line_number, event.arguments[i]));
             }
         }
         events.push_back(event);
--- a/tools/fault_tests/sidecar_cluster.cpp
+++ b/tools/fault_tests/sidecar_cluster.cpp
@@ -36,7 +36,7 @@
       relay(loop, options.members) {
     char name[] = "/tmp/tideline-rig-XXXXXX";
     if (!::mkdtemp(name)) {
-        throw std::runtime_error("no folder under /tmp");
+        throw std::runtime_error("can't create a folder under /tmp");
     }
     folder = name;
     platform.advances_by_votes = false;
@@ -55,7 +55,7 @@
         member.discovery_listener = discovery.add_listener(at_port(host_of(i), kDiscoveryPort));
         member.platform_listener = platform.add_listener(at_port(host_of(i), kPlatformPort));
         if (member.discovery_listener < 0 || member.platform_listener < 0) {
-            throw std::runtime_error("can't open doors");
+            throw std::runtime_error("can't listen for discovery and release platform");
         }
         member.clients = std::make_unique<FakeClients>(
             loop, at_port(host_of(i), kClientPort), fmt::format("c{}", i),
@@ -76,7 +76,7 @@
     endpoints.back()->build = build;
     endpoints.back()->effects = &effects;
     if (!endpoints.back()->listen(at_port(host, kEndpointPort))) {
-        throw std::runtime_error("can't listen for pods");
+        throw std::runtime_error("can't listen for endpoints");
     }
     ready_.push_back(fmt::format("pod-{}", endpoints.size()));
     nlohmann::json entry =
--- a/tools/fault_tests/sidecar_scenarios.cpp
+++ b/tools/fault_tests/sidecar_scenarios.cpp
@@ -102,8 +102,9 @@
 void measure_sidecar_cost(SidecarClusterOptions options) {
     constexpr Seconds kMeasurementDuration = 20;
     fmt::print(
-        "mean of {} sidecars at {} invocations a second each, {:.0f} s\n\n"
-        "| fleet | CPU, ms a second | resident, KB | descriptors |\n| --- | --- | --- | --- |\n",
+        "mean of {} sidecars at {} requests per second each, {:.0f} s\n\n"
+        "| cluster | CPU, ms per second | resident, KB | descriptors |\n"
+        "| --- | --- | --- | --- |\n",
         options.members, options.rate, kMeasurementDuration);
     for (const bool off : {true, false}) {
         options.without_cluster = off;
--- a/tools/fault_tests/stored_records_cost.cpp
+++ b/tools/fault_tests/stored_records_cost.cpp
@@ -97,7 +97,7 @@
             }
         }
         wait_until_stored(store, WriteNumber{static_cast<std::uint64_t>(count_)});
-        print_row("stored, 64 at once (the disk's part of memory)", now() - from, store.commits(),
+        print_row("stored, 64 at once (memory of the store alone)", now() - from, store.commits(),
                   resident_bytes() - memory);
     }
     void measure_reads() const {
@@ -108,7 +108,7 @@
         NullSender null_sender;
         ReplicaHost& host = null_sender;
         const Replica replica(host, {}, Name{"n1"}, store.disk(), std::move(stored_state), 0);
-        print_row("read back at a start, and held", now() - from, store.commits(),
+        print_row("read back at start, kept in memory", now() - from, store.commits(),
                   resident_bytes() - memory);
     }
 
@@ -129,11 +129,11 @@
 void measure_stored_records(int count) {
     char folder[] = "/tmp/tideline-held-XXXXXX";
     if (!::mkdtemp(folder)) {
-        throw std::runtime_error("no folder under /tmp");
+        throw std::runtime_error("can't create a folder under /tmp");
     }
     fmt::print(
-        "| way | records | s | records a second | fsyncs (transactions) | bytes of memory a record "
-        "| on the disk |\n"
+        "| operation | records | s | records per second | fsyncs (transactions) "
+        "| bytes of memory per record | bytes on disk per record |\n"
         "| --- | --- | --- | --- | --- | --- | --- |\n");
     const StoredRecordsCost cost(folder, count);
     cost.measure_writes();
