--- a/tools/fault_tests/check.cpp
+++ b/tools/fault_tests/check.cpp
@@ -14,15 +14,22 @@
 
 using namespace fakes;
 
-// Allowances of the check, each for what lies between a fact and the record of it.
-constexpr Seconds kRestartTimeout = 1;   // s: a process that was started serves by then
-constexpr Seconds kShutdownGrace = 0.6;  // s: after SIGTERM requests are still taken
-constexpr Seconds kInFlightTolerance =
-    0.15;  // s: an attempt on its way when its sidecar changed participation
-constexpr Seconds kExposureWindow = 2;    // s: of exposure, as in the settings
-constexpr Seconds kCapUpdateDelay = 0.8;  // s: drain grace, and until sidecars have a lower cap
-constexpr double kExposureAllowance = 2;  // dispatches, as in the settings
-constexpr Seconds kCutEffectDelay = 0.5;  // s: what was on its way when a link was cut
+// Tolerances of the checks. Each covers the time between an event and its entry in the record.
+// A started process serves requests within this time.
+constexpr Seconds kRestartTimeout = 1;
+// After SIGTERM a sidecar still accepts requests for this time.
+constexpr Seconds kShutdownGrace = 0.6;
+// An attempt that was in flight when its sidecar changed its participation arrives within this
+// time.
+constexpr Seconds kInFlightTolerance = 0.15;
+// The window over which exposure is counted; the same value as in the sidecars' settings.
+constexpr Seconds kExposureWindow = 2;
+// The drain grace period plus the time until all sidecars know of a lower cap.
+constexpr Seconds kCapUpdateDelay = 0.8;
+// Dispatches beyond the cap that the sidecars' settings allow.
+constexpr double kExposureAllowance = 2;
+// Messages that were in flight when a link was cut are processed within this time.
+constexpr Seconds kCutEffectDelay = 0.5;
 
 bool was_up_throughout(const SidecarCluster::Member& member, Seconds from, Seconds to) {
     return std::any_of(member.up_intervals.begin(), member.up_intervals.end(),
@@ -55,7 +62,7 @@
         const std::string event = "trial participation changed: value='";
         const auto at = line.find(event);
         if (at == std::string::npos) {
-            // A new incarnation begins open.
+            // A restarted member takes part in the trial until its log says otherwise.
             if (line.find(" cluster member started: ") != std::string::npos) {
                 participation.push_back({std::stod(line), "open"});
             }
@@ -70,17 +77,17 @@
 
 namespace {
 
-// One final answer each, before its time limit, from every sidecar that was there throughout.
+// Each request gets exactly one answer, within its time limit, if its sidecar was up throughout.
 void check_answers(const SidecarCluster& cluster, Violations& violations) {
     const int count = cluster.options.members;
     for (int i = 1; i <= count; ++i) {
         const SidecarCluster::Member& member = cluster.members[static_cast<std::size_t>(i)];
         for (const ClientRequest& each : member.clients->requests) {
             if (each.answers > 1) {
-                violations.add(fmt::format("n{}: {} answers to one invocation", i, each.answers));
+                violations.add(fmt::format("n{}: {} answers to one request", i, each.answers));
             }
             if (each.result == CallResult::wrong) {
-                violations.add(fmt::format("n{}: another's value as an answer", i));
+                violations.add(fmt::format("n{}: an answer with the value of another request", i));
             }
             const Seconds end = each.sent_at + each.time_limit + 0.1;
             if (!was_up_throughout(member, each.sent_at, end + kShutdownGrace) ||
@@ -88,26 +95,27 @@
                 continue;
             }
             if (each.answers == 0) {
-                violations.add(fmt::format("n{}: no answer to an invocation of {:.3f}", i,
+                violations.add(fmt::format("n{}: no answer to the request sent at {:.3f}", i,
                                            each.sent_at - cluster.start));
             } else if (each.latency > each.time_limit + 0.1) {
-                violations.add(fmt::format("n{}: an answer after {:.3f} s", i, each.latency));
+                violations.add(fmt::format(
+                    "n{}: an answer came after {:.3f} s, beyond its time limit", i, each.latency));
             }
         }
     }
 }
 
-// Times of dispatches to the trial build, in their order, by the member that sent them.
+// The times of dispatches to the trial build, sorted, by the member that sent them.
 using TrialDispatches = std::map<int, std::vector<Seconds>>;
 
-// No effect of a charge twice. Returns what reached the trial.
+// No charge takes effect twice. Returns the dispatches that reached the trial build.
 TrialDispatches check_effects(const SidecarCluster& cluster, Violations& violations) {
     std::map<std::string, int> charges;
     TrialDispatches trial;
     for (const auto& endpoint : cluster.endpoints) {
         for (const ReceivedRequest& received : endpoint->received) {
             if (received.request_class == "charge" && ++charges[received.request_id] == 2) {
-                violations.add("charge " + received.request_id + " ran twice");
+                violations.add("charge " + received.request_id + " took effect twice");
             }
             if (endpoint->build == kTrialBuild) {
                 trial[std::stoi(received.tenant.substr(1))].push_back(received.at);
@@ -120,7 +128,7 @@
     return trial;
 }
 
-// When the build was released, from when on it is no trial.
+// The time at which the build was released; from then on it is not on trial.
 Seconds release_time(const SidecarCluster& cluster) {
     for (const auto& [at, cap] : cluster.caps) {
         if (cap > 1) {
@@ -130,7 +138,7 @@
     return 1e18;
 }
 
-// Nothing goes to the trial from a member that does not take part in it.
+// A member that does not take part in the trial sends no requests to the trial build.
 void check_participation(const SidecarCluster& cluster, int i, const std::vector<Seconds>& times,
                          Violations& violations) {
     const Seconds open_until = release_time(cluster);
@@ -143,19 +151,22 @@
         const Seconds to = s + 1 < participation.size() ? participation[s + 1].at : 1e18;
         for (const Seconds at : times) {
             if (at > from && at < std::min(to, open_until)) {
-                violations.add(fmt::format("n{}: a trial dispatch {:.2f} s after it stood aside", i,
-                                           at - participation[s].at));
+                violations.add(fmt::format(
+                    "n{}: dispatched to the trial build {:.2f} s after it left the trial", i,
+                    at - participation[s].at));
             }
         }
     }
 }
 
-// The highest cap that a member may have acted on at `now`: what it was notified of, or what is now
-// lower, but was the highest of late. A muted one acts on what it was told last: any cap so far.
+// The highest cap that a member may have applied at `now`: the cap it was notified of, or a higher
+// one that was in force during the window. A member whose inputs were muted applies the last cap it
+// received, which can be any earlier one.
 double highest_cap(const SidecarCluster& cluster, const SidecarCluster::Member& member,
                    Seconds now) {
     const Seconds from = now - kExposureWindow;
-    double highest = cluster.platform.caps.front();  // of a build not yet announced
+    // The cap of a build that has not been announced.
+    double highest = cluster.platform.caps.front();
     for (const auto& [at, cap] : cluster.caps) {
         if (at <= from - kCapUpdateDelay) {
             highest = cap;
@@ -174,7 +185,7 @@
     return highest;
 }
 
-// Exposure to the trial stays within the cap, in each window that ends with a dispatch.
+// Exposure to the trial stays within the cap in each window that ends with a dispatch.
 void check_exposure(const SidecarCluster& cluster, int i, const std::vector<Seconds>& times,
                     Violations& violations) {
     const SidecarCluster::Member& member = cluster.members[static_cast<std::size_t>(i)];
@@ -195,13 +206,15 @@
         const double limit =
             kExposureAllowance + std::min(1.0, cap) * static_cast<double>(request_count);
         if (static_cast<double>(dispatch_count) > 1.04 * limit + 2) {
-            violations.add(fmt::format("n{}: {} trial dispatches of {} taken in {} s, cap {}", i,
-                                       dispatch_count, request_count, kExposureWindow, cap));
+            violations.add(
+                fmt::format("n{}: {} of {} requests dispatched to the trial build in {} s, cap {}",
+                            i, dispatch_count, request_count, kExposureWindow, cap));
         }
     }
 }
 
-// The audit never shows as current who can't be reached, and never more shut out than the bound.
+// An audit never shows an unreachable member as current or behind, and never shows more members as
+// excluded than the limit allows.
 void check_audits(const SidecarCluster& cluster, Violations& violations) {
     const int count = cluster.options.members;
     const auto bound = static_cast<int>(std::floor(kMaxExcludedShare * count));
@@ -215,20 +228,20 @@
             }
             if (!was_up_at_some_time(cluster.members[static_cast<std::size_t>(i)],
                                      audit.from - 0.05, audit.to)) {
-                violations.add(fmt::format("n{} shows n{} as {} at {:.2f}, which was not there",
+                violations.add(fmt::format("n{} shows n{} as {} at {:.2f}, while it was down",
                                            audit.asked_member, i, row.state,
                                            audit.from - cluster.start));
             }
             if (was_cut_throughout(cluster, audit.asked_member, i, audit.from, audit.to)) {
-                violations.add(
-                    fmt::format("n{} shows n{} as {} at {:.2f}, from which it was cut off",
-                                audit.asked_member, i, row.state, audit.from - cluster.start));
+                violations.add(fmt::format(
+                    "n{} shows n{} as {} at {:.2f}, while the link between them was cut",
+                    audit.asked_member, i, row.state, audit.from - cluster.start));
             }
         }
         if (excluded_count > bound) {
-            violations.add(fmt::format("n{} shows {} shut out at {:.2f}, {} at most",
-                                       audit.asked_member, excluded_count,
-                                       audit.from - cluster.start, bound));
+            violations.add(
+                fmt::format("n{} shows {} members as shut out at {:.2f}; the limit is {}",
+                            audit.asked_member, excluded_count, audit.from - cluster.start, bound));
         }
     }
 }
--- a/tools/fault_tests/planner_cluster_check.cpp
+++ b/tools/fault_tests/planner_cluster_check.cpp
@@ -1,4 +1,4 @@
-// The check of a whole record of planners and lease holders.
+// Checks the complete record of a fault test with planners and lease holders.
 
 #include <fmt/format.h>
 
@@ -12,30 +12,32 @@
 
 namespace {
 
-// Each fencing token has one holder, and nothing takes effect after an action under a higher one.
+// Each fencing token has one holder, and no action takes effect after an action under a higher
+// token.
 void check_tokens(const PlannerCluster& cluster, Violations& violations) {
     std::map<std::uint64_t, std::string> holders;
     std::uint64_t highest = 0;
     for (const TaskAction& action : cluster.actions) {
         const auto [it, inserted] = holders.try_emplace(action.fencing_token, action.holder);
         if (it->second != action.holder) {
-            violations.add(fmt::format("fence {} of both {} and {}", action.fencing_token,
+            violations.add(fmt::format("token {} was used by both {} and {}", action.fencing_token,
                                        it->second, action.holder));
         }
         if (!action.accepted) {
             continue;
         }
         if (action.fencing_token < highest) {
-            violations.add(fmt::format("an act of {} under fence {} took effect after one under {}",
-                                       action.holder, action.fencing_token, highest));
+            violations.add(
+                fmt::format("an action of {} under token {} took effect after one under token {}",
+                            action.holder, action.fencing_token, highest));
         }
         highest = std::max(highest, action.fencing_token);
     }
 }
 
-// No guard allows an action after another guard allowed one under a higher token: by the clock
-// alone, whatever the target does. Each check lies between two readings; only what is certain
-// counts.
+// No guard allows an action after another guard allowed one under a higher token. This holds by the
+// clocks alone, whatever the target rejects. Each guard's check happened between two readings of
+// the clock; only checks whose order is certain count as violations.
 void check_guards(const PlannerCluster& cluster, Violations& violations) {
     std::vector<const TaskAction*> by_guard;
     for (const TaskAction& action : cluster.actions) {
@@ -43,7 +45,7 @@
     }
     std::sort(by_guard.begin(), by_guard.end(),
               [](auto* a, auto* b) { return a->checked_before < b->checked_before; });
-    // From when on, the highest token so far.
+    // The actions whose token is the highest so far, with the times from which they count.
     std::vector<std::pair<Seconds, const TaskAction*>> highest;
     for (const TaskAction* action : by_guard) {
         if (highest.empty() || action->fencing_token > highest.back().second->fencing_token) {
@@ -59,11 +61,12 @@
         }
         const TaskAction* other = std::prev(later)->second;
         if (other->fencing_token > action->fencing_token) {
-            violations.add(fmt::format(
-                "the guard of {} says yes under fence {}, {:.3f} s after that of {} under {}",
-                action->holder, action->fencing_token,
-                action->checked_after - other->checked_before, other->holder,
-                other->fencing_token));
+            violations.add(
+                fmt::format("the guard of {} allowed an action under token {}, {:.3f} s after that "
+                            "of {} allowed one under token {}",
+                            action->holder, action->fencing_token,
+                            action->checked_after - other->checked_before, other->holder,
+                            other->fencing_token));
         }
     }
 }
@@ -75,7 +78,7 @@
     check_tokens(cluster, violations);
     check_guards(cluster, violations);
     for (const auto& [node, status] : cluster.ended) {
-        violations.add(fmt::format("{} ended with status {}", cluster.name_of(node), status));
+        violations.add(fmt::format("{} exited with status {}", cluster.name_of(node), status));
     }
     for (int i = 1; i <= cluster.options.planners + cluster.options.holders; ++i) {
         violations.add_crashes(cluster.name_of(i), cluster.log_of(i));
