--- a/tools/simulation/cluster_check.cpp
+++ b/tools/simulation/cluster_check.cpp
@@ -190,35 +190,35 @@
         const int member = draw_member();
         const int other = draw_member();
         const Seconds until = cluster_.now() + draw(0.2, 12);
-        const auto repair = [&](std::function<void()> call) {
+        const auto schedule_repair = [&](std::function<void()> call) {
             repairs_.push_back({until, std::move(call)});
         };
         switch (static_cast<int>(draw(0, 7))) {
             case 0:
                 cluster_.kill(member);
-                repair([this, member] { cluster_.start(member); });
+                schedule_repair([this, member] { cluster_.start(member); });
                 break;
             case 1:
                 cluster_.set_paused(member, true);
-                repair([this, member] { cluster_.set_paused(member, false); });
+                schedule_repair([this, member] { cluster_.set_paused(member, false); });
                 break;
             case 2:
                 cluster_.set_cut(member, other, true);
-                repair([this, member, other] { cluster_.set_cut(member, other, false); });
+                schedule_repair([this, member, other] { cluster_.set_cut(member, other, false); });
                 break;
             case 3: {
                 const int border = draw_member();
                 set_partition(border, true);
-                repair([this, border] { set_partition(border, false); });
+                schedule_repair([this, border] { set_partition(border, false); });
                 break;
             }
             case 4:
                 cluster_.set_delay(member, draw(0.1, 3));
-                repair([this, member] { cluster_.set_delay(member, 0); });
+                schedule_repair([this, member] { cluster_.set_delay(member, 0); });
                 break;
             default:
                 cluster_.set_muted(member, true);
-                repair([this, member] { cluster_.set_muted(member, false); });
+                schedule_repair([this, member] { cluster_.set_muted(member, false); });
         }
     }
 
--- a/tools/simulation/driver.hpp
+++ b/tools/simulation/driver.hpp
@@ -220,8 +220,8 @@
         if (is_cut_off && draw(0, 1) < 0.7) {
             return;
         }
-        const double late = is_cut_off ? draw(0.5, 8) : 0;
-        schedule(now_ + transit + late, [this, sent = std::move(sent), to] {
+        const double extra_delay = is_cut_off ? draw(0.5, 8) : 0;
+        schedule(now_ + transit + extra_delay, [this, sent = std::move(sent), to] {
             run_when_resumed(to, [this, sent, to] { world.deliver(sent, to); });
         });
     }
--- a/tools/simulation/heartbeat_mesh.cpp
+++ b/tools/simulation/heartbeat_mesh.cpp
@@ -114,13 +114,13 @@
 void measure_heartbeat_mesh(int members, int seeds) {
     Spread messages;
     Spread bytes;
-    Spread death;
-    Spread returned;
-    Spread lossy;
-    Spread slow;
+    Spread death_detection_times;
+    Spread return_detection_times;
+    Spread wrongly_gone_with_loss;
+    Spread wrongly_gone_when_slow;
     std::mutex mutex;
     for_each_seed(1, seeds, [&](std::uint32_t seed) {
-        const double all = members;
+        const double member_count = members;
         const auto run = [](HeartbeatMesh& mesh, int periods) {
             for (int i = 0; i < periods * kStepsPerPeriod; ++i) {
                 mesh.step();
@@ -130,25 +130,26 @@
         HeartbeatMesh with_loss(members, seed, 0.05, 0);
         HeartbeatMesh with_slow(members, seed, 0, 0.1);
         run(without_faults, 10);
-        const double sent = without_faults.messages / all / 10;
+        const double sent = without_faults.messages / member_count / 10;
         without_faults.down_member = static_cast<std::size_t>(members / 2);
-        const double death_known =
+        const double death_detection_time =
             without_faults.time_until_known(without_faults.down_member, true);
         const std::size_t returning =
             std::exchange(without_faults.down_member, HeartbeatMesh::kNoMember);
-        const double return_known = without_faults.time_until_known(returning, false);
+        const double return_detection_time = without_faults.time_until_known(returning, false);
         run(with_loss, 60);
         run(with_slow, 60);
         const std::lock_guard guard(mutex);
         messages.values.push_back(sent);
         bytes.values.push_back(sent * kHeartbeatBytes);
-        death.values.push_back(death_known);
-        returned.values.push_back(return_known);
-        lossy.values.push_back(with_loss.wrongly_gone / all);
-        slow.values.push_back(with_slow.wrongly_gone / all);
+        death_detection_times.values.push_back(death_detection_time);
+        return_detection_times.values.push_back(return_detection_time);
+        wrongly_gone_with_loss.values.push_back(with_loss.wrongly_gone / member_count);
+        wrongly_gone_when_slow.values.push_back(with_slow.wrongly_gone / member_count);
     });
     fmt::print("| {} | mesh | {} | {} | {} | {} | - | {} | - | {} |\n", members, messages.text(),
-               bytes.text(), death.text(), returned.text(), lossy.text(), slow.text());
+               bytes.text(), death_detection_times.text(), return_detection_times.text(),
+               wrongly_gone_with_loss.text(), wrongly_gone_when_slow.text());
     std::fflush(stdout);
 }
 
