--- a/tools/fault_tests/check.cpp
+++ b/tools/fault_tests/check.cpp
@@ -223,25 +223,25 @@
         for (const auto& [i, row] : audit.rows) {
             excluded_count += row.state == "shut out";
             if (i < 1 || i > count || (row.state != "current" && row.state != "behind") ||
-                i == audit.asked_member) {
+                i == audit.queried_member) {
                 continue;
             }
             if (!was_up_at_some_time(cluster.members[static_cast<std::size_t>(i)],
                                      audit.from - 0.05, audit.to)) {
                 violations.add(fmt::format("n{} shows n{} as {} at {:.2f}, while it was down",
-                                           audit.asked_member, i, row.state,
+                                           audit.queried_member, i, row.state,
                                            audit.from - cluster.start));
             }
-            if (was_cut_throughout(cluster, audit.asked_member, i, audit.from, audit.to)) {
+            if (was_cut_throughout(cluster, audit.queried_member, i, audit.from, audit.to)) {
                 violations.add(fmt::format(
                     "n{} shows n{} as {} at {:.2f}, while the link between them was cut",
-                    audit.asked_member, i, row.state, audit.from - cluster.start));
+                    audit.queried_member, i, row.state, audit.from - cluster.start));
             }
         }
         if (excluded_count > bound) {
-            violations.add(
-                fmt::format("n{} shows {} members as shut out at {:.2f}; the limit is {}",
-                            audit.asked_member, excluded_count, audit.from - cluster.start, bound));
+            violations.add(fmt::format(
+                "n{} shows {} members as shut out at {:.2f}; the limit is {}", audit.queried_member,
+                excluded_count, audit.from - cluster.start, bound));
         }
     }
 }
--- a/tools/fault_tests/command_line.cpp
+++ b/tools/fault_tests/command_line.cpp
@@ -86,8 +86,9 @@
     // The lease holder and the library with disk faults are built into the folder of this program.
     const auto program_folder = std::filesystem::path(argv[0]).parent_path();
     command_line.planners.program = command_line.sidecars.program;
-    command_line.planners.holder = (program_folder / "tideline_lease_holder").string();
-    command_line.planners.faulty_disk = (program_folder / "libtideline_faulty_disk.so").string();
+    command_line.planners.holder_program = (program_folder / "tideline_lease_holder").string();
+    command_line.planners.faulty_disk_library =
+        (program_folder / "libtideline_faulty_disk.so").string();
     command_line.replication.planners = command_line.planners;
     return true;
 }
--- a/tools/fault_tests/lease_grant_cost.cpp
+++ b/tools/fault_tests/lease_grant_cost.cpp
@@ -71,7 +71,7 @@
     }
 
   private:
-    void send_request(int task, wire::LeaseAsk::What operation, std::uint64_t fence) {
+    void send_request(int task, wire::LeaseAsk::What operation, std::uint64_t token) {
         if (closed()) {
             return;
         }
@@ -79,7 +79,7 @@
         wire::LeaseAsk& request = *message.mutable_lease_ask();
         request.set_what(operation);
         request.set_lease(fmt::format("task-{}", task));
-        request.set_fence(fence);
+        request.set_fence(token);
         // Each acquisition uses another incarnation, since a member can't use a released token
         // again.
         if (operation == wire::LeaseAsk::TAKE) {
--- a/tools/fault_tests/network_relay.cpp
+++ b/tools/fault_tests/network_relay.cpp
@@ -13,7 +13,7 @@
     ConnectionEnd(NetworkRelay& relay, RelayedConnection& connection, bool is_outbound)
         : TcpConnection(relay.loop_),
           relay_(relay),
-          splice_(connection),
+          connection_(connection),
           is_outbound_(is_outbound) {}
     std::string take_received() {
         const std::string bytes(in_.all());
@@ -23,15 +23,15 @@
 
   protected:
     void on_received() override {
-        relay_.forward_bytes(splice_, !is_outbound_);
+        relay_.forward_bytes(connection_, !is_outbound_);
     }
     void on_closed() override {
-        relay_.drop_connection(&splice_);
+        relay_.drop_connection(&connection_);
     }
 
   private:
     NetworkRelay& relay_;
-    RelayedConnection& splice_;
+    RelayedConnection& connection_;
     const bool is_outbound_;  // whether the relay opened it, to the member addressed
 };
 
--- a/tools/fault_tests/planner_cluster.cpp
+++ b/tools/fault_tests/planner_cluster.cpp
@@ -124,7 +124,7 @@
     stopped_[static_cast<std::size_t>(node)] = false;
     if (!is_planner(node)) {
         std::vector<std::string> command{
-            options.holder,
+            options.holder_program,
             "--name",
             name_of(node),
             "--address",
@@ -141,7 +141,8 @@
     }
     std::ofstream(path + ".cfg") << planner_config_of(node);
     std::vector<std::string> command{
-        "/usr/bin/env", "LD_PRELOAD=" + std::filesystem::absolute(options.faulty_disk).string(),
+        "/usr/bin/env",
+        "LD_PRELOAD=" + std::filesystem::absolute(options.faulty_disk_library).string(),
         "TIDELINE_BADDISK=" + path + ".bad", "TIDELINE_FSYNCS=" + path + ".fsyncs",
         // In a sanitizer build the address sanitizer's library would have to be preloaded first.
         "ASAN_OPTIONS=verify_asan_link_order=0", options.program, "planner", "--file",
--- a/tools/fault_tests/planner_cluster.hpp
+++ b/tools/fault_tests/planner_cluster.hpp
@@ -18,8 +18,8 @@
 
 struct PlannerClusterOptions {
     std::string program = "build/tideline";
-    std::string holder = "build/tideline_lease_holder";
-    std::string faulty_disk = "build/libtideline_faulty_disk.so";
+    std::string holder_program = "build/tideline_lease_holder";
+    std::string faulty_disk_library = "build/libtideline_faulty_disk.so";
     int planners = 5;
     int holders = 6;
     std::uint32_t seed = 1;
--- a/tools/fault_tests/replication_cost.cpp
+++ b/tools/fault_tests/replication_cost.cpp
@@ -63,14 +63,14 @@
 }
 Latencies first_attempt_latencies(const ReplicationFleet& fleet, std::size_t from,
                                   Seconds after = 0) {
-    Latencies spread;
+    Latencies sample;
     for (std::size_t i = from; i < fleet.clients.requests.size(); ++i) {
         const Attempt& first_attempt = fleet.clients.requests[i].attempts.front();
         if (first_attempt.result == CallResult::succeeded && first_attempt.sent_at >= after) {
-            spread.seconds.push_back(first_attempt.latency);
+            sample.seconds.push_back(first_attempt.latency);
         }
     }
-    return spread;
+    return sample;
 }
 // Clients that each send new charges one after the other, as a load that saturates the sidecars.
 struct SaturationLoad {
@@ -104,7 +104,7 @@
                     [this, &client, at](CallResult result, const std::string&) {
                         succeeded += result == CallResult::succeeded;
                         if (result == CallResult::succeeded) {
-                            took.seconds.push_back(net::clock_now() - at);
+                            latencies.seconds.push_back(net::clock_now() - at);
                         }
                         fleet_.loop.timers.soon([this, &client] {
                             if (client.idle()) {
@@ -115,7 +115,7 @@
     }
     std::uint64_t requests_sent = 0;
     std::uint64_t succeeded = 0;
-    Latencies took;
+    Latencies latencies;
     bool stopped = false;
 
   private:
@@ -176,12 +176,12 @@
     const double cpu_each = (cpu_of_all(fleet) - cpu) / charges * 1e3;
     const double bytes_each = (loopback_bytes() - bytes) / charges;
     fleet.clients.stop();
-    Latencies took = first_attempt_latencies(fleet, from);
+    Latencies latencies = first_attempt_latencies(fleet, from);
     const auto before = static_cast<double>(fleet.clients.requests.size());
     SaturationLoad saturation(fleet, "s");
     fleet.run(1);
     const std::uint64_t succeeded_before = saturation.succeeded;
-    saturation.took.seconds.clear();
+    saturation.latencies.seconds.clear();
     fleet.run(duration);
     const double rate = static_cast<double>(saturation.succeeded - succeeded_before) / duration;
     saturation.stopped = true;
@@ -192,8 +192,8 @@
     }
     fsyncs /= before + static_cast<double>(saturation.succeeded);
     fmt::print("| {} | {} | {:.2f} | {:.0f} | {:.2f} | {:.0f} | {:.1f} | {:.1f} |\n", row.name,
-               took.format_row(), cpu_each, bytes_each, fsyncs, rate,
-               saturation.took.value_at(0.5) * 1e3, saturation.took.value_at(0.99) * 1e3);
+               latencies.format_row(), cpu_each, bytes_each, fsyncs, rate,
+               saturation.latencies.value_at(0.5) * 1e3, saturation.latencies.value_at(0.99) * 1e3);
     std::fflush(stdout);
     remove_folders(fleet);
 }
--- a/tools/fault_tests/replication_run.hpp
+++ b/tools/fault_tests/replication_run.hpp
@@ -35,7 +35,7 @@
     all.replicas = options.without_replication ? 0 : options.replicas;
     all.min_replicas = options.min_replicas;
     all.rate = 0;  // only the clients that retry send requests
-    all.faulty_disk = options.planners.faulty_disk;
+    all.faulty_disk_library = options.planners.faulty_disk_library;
     return all;
 }
 
--- a/tools/fault_tests/sidecar_cluster.cpp
+++ b/tools/fault_tests/sidecar_cluster.cpp
@@ -161,9 +161,9 @@
     std::ofstream(path + ".json") << settings_of(i).dump(1);
     std::ofstream(path + ".cfg") << cluster_config_of(i);
     std::vector<std::string> command;
-    if (!options.faulty_disk.empty()) {
+    if (!options.faulty_disk_library.empty()) {
         command = {"/usr/bin/env",
-                   "LD_PRELOAD=" + std::filesystem::absolute(options.faulty_disk).string(),
+                   "LD_PRELOAD=" + std::filesystem::absolute(options.faulty_disk_library).string(),
                    "TIDELINE_BADDISK=" + path + ".bad", "TIDELINE_FSYNCS=" + path + ".fsyncs",
                    "ASAN_OPTIONS=verify_asan_link_order=0"};
     }
--- a/tools/fault_tests/sidecar_cluster.hpp
+++ b/tools/fault_tests/sidecar_cluster.hpp
@@ -43,7 +43,7 @@
     double time_to_live = 60;
     bool allow_unreplicated = false;
     bool group_commit = true;
-    std::string faulty_disk;  // the library with disk faults (faulty_disk.cpp); empty: none
+    std::string faulty_disk_library;  // the library with disk faults (faulty_disk.cpp); empty: none
 };
 
 // The settings of the members in these tests, short so that the tests are short.
@@ -76,7 +76,7 @@
 struct Audit {
     Seconds from = 0;
     Seconds to = 0;
-    int asked_member = 0;
+    int queried_member = 0;
     bool complete = false;
     std::map<int, AuditRow> rows;
 };
@@ -161,7 +161,7 @@
     void cut(int from, int to);
     void heal(int from, int to);
     void add_endpoint(int build);
-    void request_audit(int by);
+    void request_audit(int member);
     net::Timers::Id audit_timer_ = net::Timers::kNone;
     std::map<int, std::unique_ptr<cluster::MembersQuery>> queries_;
     std::vector<std::string> ready_;  // IDs of the endpoints that are listed as ready
