--- a/tools/fault_tests/check.cpp
+++ b/tools/fault_tests/check.cpp
@@ -31,17 +31,20 @@
 // Messages that were in flight when a link was cut are processed within this time.
 constexpr Seconds kCutEffectDelay = 0.5;
 
+// Whether the member's process ran, and had time to start, from `from` to `to`.
 bool was_up_throughout(const SidecarCluster::Member& member, Seconds from, Seconds to) {
     return std::any_of(member.up_intervals.begin(), member.up_intervals.end(),
                        [&](const Interval& interval) {
                            return from >= interval.from + kRestartTimeout && to < interval.to;
                        });
 }
+// Whether the member's process ran at some time between `from` and `to`.
 bool was_up_at_some_time(const SidecarCluster::Member& member, Seconds from, Seconds to) {
     return std::any_of(
         member.up_intervals.begin(), member.up_intervals.end(),
         [&](const Interval& interval) { return interval.from < to && interval.to > from; });
 }
+// Whether both directions between two members were cut from `from` to `to`.
 bool was_cut_throughout(const SidecarCluster& cluster, int a, int b, Seconds from, Seconds to) {
     const auto is_link_cut = [&](int x, int y) {
         const auto it = cluster.cuts.find({x, y});
--- a/tools/fault_tests/fleet.hpp
+++ b/tools/fault_tests/fleet.hpp
@@ -42,6 +42,7 @@
     std::vector<std::string> violations;
     std::vector<std::pair<std::string, double>> figures;
 
+    // Adds the violation unless `holds`.
     void expect(bool holds, const std::string& violation) {
         if (!holds) {
             violations.push_back(violation);
@@ -58,6 +59,7 @@
         }
         return count;
     }
+    // Runs the event loop until the predicate holds; returns false if it does not within `timeout`.
     bool wait_until(Seconds timeout, const std::function<bool()>& predicate) {
         return sidecars.run_until(timeout, predicate);
     }
--- a/tools/fault_tests/lease_grant_cost.cpp
+++ b/tools/fault_tests/lease_grant_cost.cpp
@@ -97,6 +97,7 @@
     std::map<int, double> requested_at_;
 };
 
+// Prints the row for `count` planners with `concurrency` requests at once.
 void measure_planners(PlannerClusterOptions options, int count, int concurrency, Seconds duration) {
     options.planners = count;
     options.holders = 0;
@@ -175,6 +176,7 @@
     request.entries.push_back({{1}, raft::EntryKind::command, std::string(60, 'x'), {}});
     return request;
 }
+// Prints the row for a way to store records; `store_record` stores the record with the given index.
 void measure_writes(const char* name, const std::function<void(std::uint64_t)>& store_record,
                     Seconds duration) {
     const auto from = Clock::now();
--- a/tools/fault_tests/network_relay.cpp
+++ b/tools/fault_tests/network_relay.cpp
@@ -35,7 +35,9 @@
     const bool is_outbound_;  // whether the relay opened it, to the member addressed
 };
 
+// A connection that member `from` opened to member `to`, with the queued bytes of both directions.
 struct NetworkRelay::RelayedConnection {
+    // Bytes that are forwarded at `due` at the earliest.
     struct DelayedBytes {
         Seconds due;
         std::string bytes;
--- a/tools/fault_tests/network_relay.hpp
+++ b/tools/fault_tests/network_relay.hpp
@@ -29,6 +29,7 @@
     NetworkRelay(net::EventLoop& loop, int members, int first = 1);
     ~NetworkRelay();
     using Direction = std::pair<int, int>;  // from, to; members are numbered from 1
+    // Queues the bytes of this direction until it heals.
     void cut(Direction direction) {
         cut_links_.insert(direction);
     }
@@ -38,17 +39,22 @@
     }
     // Heals all links: queued bytes are delivered, and delays end.
     void heal();
+    // Heals one direction: its queued bytes are delivered, and its delay ends.
     void heal(Direction direction);
     bool is_cut(Direction direction) const {
         return cut_links_.contains(direction);
     }
 
   private:
+    // One of the two TCP connections of a relayed connection.
     class ConnectionEnd;
     struct RelayedConnection;
     void accept_connection(int to, int fd);
+    // Takes what one end received and sends on what is due, unless the direction is cut.
     void forward_bytes(RelayedConnection& connection, bool forward);
+    // Closes both ends of a relayed connection.
     void drop_connection(RelayedConnection* connection);
+    // Forwards on all connections the bytes that are due.
     void forward_all();
     net::EventLoop& loop_;
     std::vector<std::unique_ptr<net::Listener>> listeners_;
--- a/tools/fault_tests/planner_cluster.hpp
+++ b/tools/fault_tests/planner_cluster.hpp
@@ -61,13 +61,19 @@
     // Starts all nodes; the first planner founds the cluster. Throws std::runtime_error if the
     // cluster has no leader or the lease has no holder in time.
     void begin();
+    // Applies an event of a schedule now; the event's time is ignored.
     void apply(const Event& event);
+    // Runs the event loop.
     void run(Seconds duration);
+    // Runs the event loop until the predicate holds; returns false if it does not within `timeout`.
     bool run_until(Seconds timeout, const std::function<bool()>& predicate);
+    // Starts the process of a node, unless it runs.
     void start(int node, bool founds_cluster = false);
     // Sends a request to one planner without the relay. Returns nothing if no answer came within a
     // second.
     std::optional<wire::LeaseAnswer> send_request(int planner, const wire::LeaseAsk& request);
+    // Returns the lease table that a planner knows; nothing if the planner does not run, does not
+    // answer or has a stale table.
     std::optional<wire::PlannerTable> table(int planner);
     int leader();       // the node that leads; 0 if no planner answers
     bool is_healthy();  // whether all planners vote and one of them leads
@@ -77,6 +83,7 @@
     std::string log_of(int node) const;
     std::string folder_of(int planner) const;
     std::string name_of(int node) const;
+    // Returns the number of the node with this name; 0 for an empty name.
     int node_of(const std::string& name) const;
     double cpu_of(int node) const;  // CPU time in seconds
     bool is_planner(int node) const {
@@ -99,11 +106,13 @@
 
   private:
     class TargetConnection;
+    // Parses a line "<holder> <token> <checked after> <checked before>" and records the action.
     void record_action(const std::string& line);
     std::string planner_config_of(int planner) const;
     // Each applies the events of its subject, and returns false for other events.
     bool apply_to_process(const Event& event);
     bool apply_to_links(const Event& event);
+    // Sends the operator's requests "admit" and "take-away" to the leader; ignores other events.
     void apply_as_operator(const Event& event);
     // `fault` is the number in a schedule's event "disk"; 0 removes the fault.
     void set_disk_fault(int node, int fault);
--- a/tools/fault_tests/planner_cluster_run.hpp
+++ b/tools/fault_tests/planner_cluster_run.hpp
@@ -29,6 +29,7 @@
     std::vector<std::string> violations;
     std::vector<std::pair<std::string, double>> figures;
 
+    // Adds the violation unless `holds`.
     void expect(bool holds, const std::string& violation) {
         if (!holds) {
             violations.push_back(violation);
@@ -63,6 +64,7 @@
         expect(acted_at >= 0, "no other holder acts after " + previous);
         return acted_at < 0 ? -1 : acted_at - from;
     }
+    // Waits for an action of any holder; returns false if none arrives within `timeout`.
     bool wait_for_action(Seconds timeout) {
         const std::size_t from = cluster.actions.size();
         return cluster.run_until(timeout, [&] { return cluster.actions.size() > from; });
--- a/tools/fault_tests/replication_cost.cpp
+++ b/tools/fault_tests/replication_cost.cpp
@@ -19,6 +19,7 @@
 // The rate, over all sidecars, at which latencies are measured below saturation.
 constexpr double kChargesPerSecond = 150;
 
+// A sample of latencies with its quantiles.
 struct Latencies {
     std::vector<double> seconds;
     double value_at(double quantile) {
@@ -35,6 +36,7 @@
                            value_at(1) * 1e3);
     }
 };
+// Returns the bytes that the loopback interface has received since boot.
 double loopback_bytes() {
     std::ifstream file("/proc/net/dev");
     for (std::string line; std::getline(file, line);) {
@@ -44,6 +46,7 @@
     }
     return 0;
 }
+// Returns the CPU time of all sidecars in seconds.
 double cpu_of_all(ReplicationFleet& fleet) {
     double sum = 0;
     for (int i = 1; i <= fleet.options.members; ++i) {
@@ -51,6 +54,7 @@
     }
     return sum;
 }
+// Shuts a member down, since a process reports its fsyncs at exit, and returns their number.
 double stop_and_count_fsyncs(ReplicationFleet& fleet, int member) {
     fleet.apply("term", {static_cast<double>(member)});
     fleet.wait_until(8, [&] {
@@ -61,6 +65,8 @@
     file >> count;
     return count;
 }
+// Returns the latencies of successful first attempts, of the requests from index `from` on that
+// were sent at `after` or later.
 Latencies first_attempt_latencies(const ReplicationFleet& fleet, std::size_t from,
                                   Seconds after = 0) {
     Latencies sample;
@@ -209,6 +215,7 @@
     fleet.run(0.5);
 }
 
+// Returns the number of records that a member stores.
 std::size_t record_count_of(ReplicationFleet& fleet, int member) {
     const auto answer = fleet.query();
     if (!answer) {
--- a/tools/fault_tests/sidecar_cluster.hpp
+++ b/tools/fault_tests/sidecar_cluster.hpp
@@ -41,6 +41,7 @@
     double scrub_interval = 3600;  // in seconds
     // How long a record is kept, in seconds.
     double time_to_live = 60;
+    // Whether a member may serve charges without replicas instead of throttling them.
     bool allow_unreplicated = false;
     bool group_commit = true;
     std::string faulty_disk_library;  // the library with disk faults (faulty_disk.cpp); empty: none
@@ -99,9 +100,11 @@
     bool is_listening(int member) const;
     bool all_listen() const;
     void run(Seconds duration);  // runs the event loop
+    // Runs the event loop until the predicate holds; returns false if it does not within `timeout`.
     bool run_until(Seconds timeout, const std::function<bool()>& predicate);
     // Sends an audit query to one member after the other from now on, at intervals of 0.25 s.
     void start_audits();
+    // Whether the audit is complete and shows all members as current, without faults.
     bool all_current(const Audit& audit) const;
     const Audit* newest_audit() const {
         return audits.empty() ? nullptr : &audits.back();
@@ -116,10 +119,12 @@
         std::unique_ptr<fakes::Process> process = std::make_unique<fakes::Process>();
         std::unique_ptr<fakes::FakeClients> clients;
         std::vector<Interval> up_intervals;  // when the process ran and was not stopped
+        // When discovery and release platform sent the member no changes.
         std::vector<Interval> muted_intervals;
         int discovery_listener = -1;
         int platform_listener = -1;
         bool stopped = false;
+        // Whether the member was sent SIGTERM and not started since.
         bool is_terminating = false;
     };
     net::EventLoop& loop;
--- a/tools/fault_tests/sidecar_scenario_run.hpp
+++ b/tools/fault_tests/sidecar_scenario_run.hpp
@@ -27,6 +27,7 @@
     SidecarCluster cluster;
     ScenarioResult result;
 
+    // Adds the violation unless `holds`.
     void expect(bool holds, const std::string& violation) {
         if (!holds) {
             result.violations.push_back(violation);
