--- a/tools/fault_tests/check.cpp
+++ b/tools/fault_tests/check.cpp
@@ -31,17 +31,20 @@
 // Messages that were in flight when a link was cut are processed within this time.
 constexpr Seconds kCutEffectDelay = 0.5;
 
+// Whether the member's process ran, and had time to start, from `from` to `to`.
 bool was_up_throughout(const SidecarCluster::Member& member, Seconds from, Seconds to) {
     return std::any_of(member.up_intervals.begin(), member.up_intervals.end(),
                        [&](const Interval& interval) {
                            return from >= interval.from + kRestartTimeout && to < interval.to;
                        });
 }
+// Whether the member's process ran at some time between `from` and `to`.
 bool was_up_at_some_time(const SidecarCluster::Member& member, Seconds from, Seconds to) {
     return std::any_of(
         member.up_intervals.begin(), member.up_intervals.end(),
         [&](const Interval& interval) { return interval.from < to && interval.to > from; });
 }
+// Whether both directions between two members were cut from `from` to `to`.
 bool was_cut_throughout(const SidecarCluster& cluster, int a, int b, Seconds from, Seconds to) {
     const auto is_link_cut = [&](int x, int y) {
         const auto it = cluster.cuts.find({x, y});
@@ -223,25 +226,25 @@
         for (const auto& [i, row] : audit.rows) {
             excluded_count += row.state == "shut out";
             if (i < 1 || i > count || (row.state != "current" && row.state != "behind") ||
-                i == audit.asked_member) {
+                i == audit.queried_member) {
                 continue;
             }
             if (!was_up_at_some_time(cluster.members[static_cast<std::size_t>(i)],
                                      audit.from - 0.05, audit.to)) {
                 violations.add(fmt::format("n{} shows n{} as {} at {:.2f}, while it was down",
-                                           audit.asked_member, i, row.state,
+                                           audit.queried_member, i, row.state,
                                            audit.from - cluster.start));
             }
-            if (was_cut_throughout(cluster, audit.asked_member, i, audit.from, audit.to)) {
+            if (was_cut_throughout(cluster, audit.queried_member, i, audit.from, audit.to)) {
                 violations.add(fmt::format(
                     "n{} shows n{} as {} at {:.2f}, while the link between them was cut",
-                    audit.asked_member, i, row.state, audit.from - cluster.start));
+                    audit.queried_member, i, row.state, audit.from - cluster.start));
             }
         }
         if (excluded_count > bound) {
-            violations.add(
-                fmt::format("n{} shows {} members as shut out at {:.2f}; the limit is {}",
-                            audit.asked_member, excluded_count, audit.from - cluster.start, bound));
+            violations.add(fmt::format(
+                "n{} shows {} members as shut out at {:.2f}; the limit is {}", audit.queried_member,
+                excluded_count, audit.from - cluster.start, bound));
         }
     }
 }
--- a/tools/fault_tests/replication_cost.cpp
+++ b/tools/fault_tests/replication_cost.cpp
@@ -19,6 +19,7 @@
 // The rate, over all sidecars, at which latencies are measured below saturation.
 constexpr double kChargesPerSecond = 150;
 
+// A sample of latencies with its quantiles.
 struct Latencies {
     std::vector<double> seconds;
     double value_at(double quantile) {
@@ -35,6 +36,7 @@
                            value_at(1) * 1e3);
     }
 };
+// Returns the bytes that the loopback interface has received since boot.
 double loopback_bytes() {
     std::ifstream file("/proc/net/dev");
     for (std::string line; std::getline(file, line);) {
@@ -44,6 +46,7 @@
     }
     return 0;
 }
+// Returns the CPU time of all sidecars in seconds.
 double cpu_of_all(ReplicationFleet& fleet) {
     double sum = 0;
     for (int i = 1; i <= fleet.options.members; ++i) {
@@ -51,6 +54,7 @@
     }
     return sum;
 }
+// Shuts a member down, since a process reports its fsyncs at exit, and returns their number.
 double stop_and_count_fsyncs(ReplicationFleet& fleet, int member) {
     fleet.apply("term", {static_cast<double>(member)});
     fleet.wait_until(8, [&] {
@@ -61,16 +65,18 @@
     file >> count;
     return count;
 }
+// Returns the latencies of successful first attempts, of the requests from index `from` on that
+// were sent at `after` or later.
 Latencies first_attempt_latencies(const ReplicationFleet& fleet, std::size_t from,
                                   Seconds after = 0) {
-    Latencies spread;
+    Latencies sample;
     for (std::size_t i = from; i < fleet.clients.requests.size(); ++i) {
         const Attempt& first_attempt = fleet.clients.requests[i].attempts.front();
         if (first_attempt.result == CallResult::succeeded && first_attempt.sent_at >= after) {
-            spread.seconds.push_back(first_attempt.latency);
+            sample.seconds.push_back(first_attempt.latency);
         }
     }
-    return spread;
+    return sample;
 }
 // Clients that each send new charges one after the other, as a load that saturates the sidecars.
 struct SaturationLoad {
@@ -104,7 +110,7 @@
                     [this, &client, at](CallResult result, const std::string&) {
                         succeeded += result == CallResult::succeeded;
                         if (result == CallResult::succeeded) {
-                            took.seconds.push_back(net::clock_now() - at);
+                            latencies.seconds.push_back(net::clock_now() - at);
                         }
                         fleet_.loop.timers.soon([this, &client] {
                             if (client.idle()) {
@@ -115,7 +121,7 @@
     }
     std::uint64_t requests_sent = 0;
     std::uint64_t succeeded = 0;
-    Latencies took;
+    Latencies latencies;
     bool stopped = false;
 
   private:
@@ -176,12 +182,12 @@
     const double cpu_each = (cpu_of_all(fleet) - cpu) / charges * 1e3;
     const double bytes_each = (loopback_bytes() - bytes) / charges;
     fleet.clients.stop();
-    Latencies took = first_attempt_latencies(fleet, from);
+    Latencies latencies = first_attempt_latencies(fleet, from);
     const auto before = static_cast<double>(fleet.clients.requests.size());
     SaturationLoad saturation(fleet, "s");
     fleet.run(1);
     const std::uint64_t succeeded_before = saturation.succeeded;
-    saturation.took.seconds.clear();
+    saturation.latencies.seconds.clear();
     fleet.run(duration);
     const double rate = static_cast<double>(saturation.succeeded - succeeded_before) / duration;
     saturation.stopped = true;
@@ -192,8 +198,8 @@
     }
     fsyncs /= before + static_cast<double>(saturation.succeeded);
     fmt::print("| {} | {} | {:.2f} | {:.0f} | {:.2f} | {:.0f} | {:.1f} | {:.1f} |\n", row.name,
-               took.format_row(), cpu_each, bytes_each, fsyncs, rate,
-               saturation.took.value_at(0.5) * 1e3, saturation.took.value_at(0.99) * 1e3);
+               latencies.format_row(), cpu_each, bytes_each, fsyncs, rate,
+               saturation.latencies.value_at(0.5) * 1e3, saturation.latencies.value_at(0.99) * 1e3);
     std::fflush(stdout);
     remove_folders(fleet);
 }
@@ -209,6 +215,7 @@
     fleet.run(0.5);
 }
 
+// Returns the number of records that a member stores.
 std::size_t record_count_of(ReplicationFleet& fleet, int member) {
     const auto answer = fleet.query();
     if (!answer) {
--- a/tools/fault_tests/sidecar_cluster.hpp
+++ b/tools/fault_tests/sidecar_cluster.hpp
@@ -41,9 +41,10 @@
     double scrub_interval = 3600;  // in seconds
     // How long a record is kept, in seconds.
     double time_to_live = 60;
+    // Whether a member may serve charges without replicas instead of throttling them.
     bool allow_unreplicated = false;
     bool group_commit = true;
-    std::string faulty_disk;  // the library with disk faults (faulty_disk.cpp); empty: none
+    std::string faulty_disk_library;  // the library with disk faults (faulty_disk.cpp); empty: none
 };
 
 // The settings of the members in these tests, short so that the tests are short.
@@ -76,7 +77,7 @@
 struct Audit {
     Seconds from = 0;
     Seconds to = 0;
-    int asked_member = 0;
+    int queried_member = 0;
     bool complete = false;
     std::map<int, AuditRow> rows;
 };
@@ -99,9 +100,11 @@
     bool is_listening(int member) const;
     bool all_listen() const;
     void run(Seconds duration);  // runs the event loop
+    // Runs the event loop until the predicate holds; returns false if it does not within `timeout`.
     bool run_until(Seconds timeout, const std::function<bool()>& predicate);
     // Sends an audit query to one member after the other from now on, at intervals of 0.25 s.
     void start_audits();
+    // Whether the audit is complete and shows all members as current, without faults.
     bool all_current(const Audit& audit) const;
     const Audit* newest_audit() const {
         return audits.empty() ? nullptr : &audits.back();
@@ -116,10 +119,12 @@
         std::unique_ptr<fakes::Process> process = std::make_unique<fakes::Process>();
         std::unique_ptr<fakes::FakeClients> clients;
         std::vector<Interval> up_intervals;  // when the process ran and was not stopped
+        // When discovery and release platform sent the member no changes.
         std::vector<Interval> muted_intervals;
         int discovery_listener = -1;
         int platform_listener = -1;
         bool stopped = false;
+        // Whether the member was sent SIGTERM and not started since.
         bool is_terminating = false;
     };
     net::EventLoop& loop;
@@ -161,7 +166,7 @@
     void cut(int from, int to);
     void heal(int from, int to);
     void add_endpoint(int build);
-    void request_audit(int by);
+    void request_audit(int member);
     net::Timers::Id audit_timer_ = net::Timers::kNone;
     std::map<int, std::unique_ptr<cluster::MembersQuery>> queries_;
     std::vector<std::string> ready_;  // IDs of the endpoints that are listed as ready
