--- a/src/cluster/cluster_member.hpp
+++ b/src/cluster/cluster_member.hpp
@@ -20,7 +20,7 @@
 #include "cluster/peer_connections.hpp"
 #include "cluster/replication_agent.hpp"
 #include "cluster/state_transfer.hpp"
-#include "net/fleet_observer.hpp"
+#include "net/cluster_observer.hpp"
 #include "net/log.hpp"
 
 namespace tideline::cluster {
--- a/src/net/sidecar.hpp
+++ b/src/net/sidecar.hpp
@@ -9,10 +9,10 @@
 #include <vector>
 
 #include "net/client_listener.hpp"
+#include "net/cluster_observer.hpp"
 #include "net/discovery_client.hpp"
 #include "net/duplicate_effect_guard.hpp"
 #include "net/endpoint_pool.hpp"
-#include "net/fleet_observer.hpp"
 #include "net/log.hpp"
 #include "net/open_requests.hpp"
 #include "net/release_platform_client.hpp"
