--- a/src/cli/sidecar.cpp
+++ b/src/cli/sidecar.cpp
@@ -41,7 +41,7 @@
             // rejected.
             const SidecarConfig config = read_sidecar_config(command_.config_path);
             if (member_) {
-                member_->apply_config(cluster::cluster_config_of(command_.cluster_config_path));
+                member_->apply_config(cluster::load_cluster_config(command_.cluster_config_path));
             }
             sidecar_.reload(config, asked_at_);
         } catch (const std::exception& error) {
@@ -66,10 +66,10 @@
 
 slow_start::SlowStartSettings slow_start_settings(const SidecarConfig& config) {
     slow_start::SlowStartSettings settings;
-    settings.window = config.need("rules.fall_window");
-    settings.overload_multiple = config.need("rules.fall_multiple");
-    settings.cold_share = config.need("rules.cold_share");
-    settings.warm_up_time = config.need("rules.warm_within");
+    settings.window = config.required_number("rules.fall_window");
+    settings.overload_multiple = config.required_number("rules.fall_multiple");
+    settings.cold_share = config.required_number("rules.cold_share");
+    settings.warm_up_time = config.required_number("rules.warm_within");
     return settings;
 }
 
@@ -84,7 +84,7 @@
     const bool has_window =
         window != config.settings.end() && std::holds_alternative<double>(window->second);
     const Seconds repeat_window = has_window ? std::get<double>(window->second) : 0;
-    return repeat_window + config.need(prefix + ".time_limit");
+    return repeat_window + config.required_number(prefix + ".time_limit");
 }
 
 // Effects have to be kept for at least as long as endpoints recognise repeats: after a shorter time
@@ -94,7 +94,7 @@
         return;
     }
     const Seconds retention = cluster_config.replication.replica.time_to_live;
-    const int count = static_cast<int>(config.need("operations.count"));
+    const int count = static_cast<int>(config.required_number("operations.count"));
     for (int i = 0; i < count; ++i) {
         const std::string prefix = "operations." + std::to_string(i);
         const Seconds needed = needed_retention(config, prefix);
@@ -119,7 +119,7 @@
     std::unique_ptr<cluster::ClusterMember> member;
     if (!command.cluster_config_path.empty()) {
         const cluster::ClusterConfig cluster_config =
-            cluster::cluster_config_of(command.cluster_config_path);
+            cluster::load_cluster_config(command.cluster_config_path);
         check_retention(config, cluster_config);
         member = std::make_unique<cluster::ClusterMember>(loop, log, cluster_config,
                                                           cluster::digest_of(config.text),
@@ -152,11 +152,11 @@
             continue;
         }
         ending = true;
-        log.line("shutdown started: closing_clients_in_s={}", kShutdownOverlap);
+        log.line("shutdown started: closing_clients_in_s={}", kShutdownOverlapDuration);
         if (member) {
             member->leave();
         }
-        loop.timers.at(clock_now() + kShutdownOverlap, [&] { sidecar.shut_down(); });
+        loop.timers.at(clock_now() + kShutdownOverlapDuration, [&] { sidecar.shut_down(); });
     }
     sidecar.report();
     log.line("shutdown finished");
--- a/src/cluster/cluster_config.cpp
+++ b/src/cluster/cluster_config.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::size_t kMaxNameBytes = 100;  // names are sent in every message
 
-void read_membership(Reader& read, const Setting& from, ClusterConfig& cluster_config) {
+void read_membership(ConfigReader& read, const Setting& from, ClusterConfig& cluster_config) {
     MembershipSettings& membership = cluster_config.membership;
     read.group(from, {{"period", read.number(membership.period, 0.05, 60, " s")},
                       {"answer_wait", read.number(membership.answer_wait, 0.01, 30, " s")},
@@ -25,7 +25,7 @@
     }
 }
 
-void read_audit(Reader& read, const Setting& from, ClusterConfig& cluster_config) {
+void read_audit(ConfigReader& read, const Setting& from, ClusterConfig& cluster_config) {
     auto& version_audit = cluster_config.version_audit;
     read.group(from, {{"witnesses", read.number(version_audit.witnesses, 2, 100)},
                       {"grace", read.number(version_audit.grace, 0.2, 3600, " s")},
@@ -35,13 +35,15 @@
                       {"epochs", read.number(cluster_config.max_epochs, 2, 100000)}});
 }
 
-void read_planners(Reader& read, const Setting& from, ClusterConfig& cluster_config) {
+void read_planners(ConfigReader& read, const Setting& from, ClusterConfig& cluster_config) {
     read.group(
         from,
         {{"addresses", read.addresses(cluster_config.planners)},
          {"answer_wait", read.number(cluster_config.lease_client.answer_wait, 0.05, 60, " s")},
-         {"ask_again", read.number(cluster_config.lease_client.ask_again, 0.1, 600, " s")},
-         {"renew_most", read.number(cluster_config.lease_client.renew_most, 0.05, 600, " s")},
+         {"ask_again",
+          read.number(cluster_config.lease_client.queue_poll_interval, 0.1, 600, " s")},
+         {"renew_most",
+          read.number(cluster_config.lease_client.max_renewal_interval, 0.05, 600, " s")},
          {"roll_call", read.number(cluster_config.audit_interval, 0, 3600, " s")},
          {"warming", read.number(cluster_config.slow_start_interval, 0, 60, " s")}});
     if (cluster_config.planners.empty()) {
@@ -51,7 +53,7 @@
     }
 }
 
-void read_replication(Reader& read, const Setting& from, ClusterConfig& cluster_config) {
+void read_replication(ConfigReader& read, const Setting& from, ClusterConfig& cluster_config) {
     ReplicationSettings& replication = cluster_config.replication;
     replication.enabled = true;
     std::string otherwise = "throttle";
@@ -92,13 +94,13 @@
     replication.effect_log.allow_unreplicated = otherwise == "alone";
 }
 
-void read_limits(Reader& read, const Setting& from, ClusterConfig& cluster_config) {
+void read_limits(ConfigReader& read, const Setting& from, ClusterConfig& cluster_config) {
     read.group(from, {{"links", read.number(cluster_config.max_connections, 4, 10000)},
                       {"frame", read.number(cluster_config.max_frame_bytes, 16384,
                                             64.0 * 1024 * 1024, " bytes")}});
 }
 
-void read_fleet(Reader& read, const Setting& from, ClusterConfig& cluster_config) {
+void read_fleet(ConfigReader& read, const Setting& from, ClusterConfig& cluster_config) {
     const auto section = [&](auto reads) {
         return [&, reads](const Setting& group) { reads(read, group, cluster_config); };
     };
@@ -139,7 +141,7 @@
 std::vector<ConfigError> read_cluster_config(const std::string& text,
                                              ClusterConfig& cluster_config) {
     cluster_config.digest = digest_of(text);
-    return faults_in(text, [&](Reader& read, const Setting& root) {
+    return parse_config_text(text, [&](ConfigReader& read, const Setting& root) {
         if (!root.exists("fleet")) {
             read.fault(root, "fleet is missing");
         }
@@ -170,7 +172,7 @@
                           : fmt::format("{}: {}", path, fault.message);
 }
 
-ClusterConfig cluster_config_of(const std::string& path) {
+ClusterConfig load_cluster_config(const std::string& path) {
     return read_config_file(path, read_cluster_config);
 }
 
--- a/src/cluster/cluster_config.hpp
+++ b/src/cluster/cluster_config.hpp
@@ -61,7 +61,7 @@
 std::vector<ConfigError> read_cluster_config(const std::string& text,
                                              ClusterConfig& cluster_config);
 // Reads the file. Throws std::runtime_error with one line per fault: file, line and description.
-ClusterConfig cluster_config_of(const std::string& path);
+ClusterConfig load_cluster_config(const std::string& path);
 std::string digest_of(const std::string& text);  // 16 hex digits, equal for equal texts
 // Formats the fault for the operator, with file and line.
 std::string text_of(const std::string& path, const ConfigError& fault);
--- a/src/cluster/cluster_member.cpp
+++ b/src/cluster/cluster_member.cpp
@@ -132,7 +132,7 @@
 }
 
 // --- State that this sidecar acts on
-bool ClusterMember::takes_revision(std::int64_t revision) {
+bool ClusterMember::accepts_revision(std::int64_t revision) {
     return transfers_.accepts(VersionPart::list,
                               static_cast<std::uint64_t>(std::max<std::int64_t>(0, revision)));
 }
@@ -207,11 +207,11 @@
     acting.config_digest = sidecar_config_digest_ + cluster_config_.digest;
     acting.program = TIDELINE_VERSION;
     audit_log_.set_acting_state(net::clock_now(), acting);
-    membership_.acts_on(net::clock_now(), acting.version);
+    membership_.set_own_versions(net::clock_now(), acting.version);
 }
 
 void ClusterMember::on_epoch_sealed(const audit::Epoch& epoch) {
-    if (!member_store_.keep(epoch) && !std::exchange(epoch_store_failed_, true)) {
+    if (!member_store_.append_epoch(epoch) && !std::exchange(epoch_store_failed_, true)) {
         log_.alarm("audit epochs not written: folder={}", cluster_config_.folder);
     }
     // Deferred, because the audit log is still sealing this epoch and every message carries the
@@ -259,7 +259,7 @@
 void ClusterMember::gossip_exclusion(const Name& name, const Incarnation& incarnation,
                                      bool excluded) {
     log_.line("member exclusion ruled: name={} excluded={}", name.value, excluded ? "yes" : "no");
-    membership_.rule(net::clock_now(), name, incarnation, excluded);
+    membership_.rule_on_exclusion(net::clock_now(), name, incarnation, excluded);
 }
 
 void ClusterMember::trial_participation(TrialParticipation trial_participation) {
--- a/src/cluster/cluster_member.hpp
+++ b/src/cluster/cluster_member.hpp
@@ -25,7 +25,7 @@
 
 namespace tideline::cluster {
 
-class ClusterMember : public net::FleetObserver,
+class ClusterMember : public net::ClusterObserver,
                       MembershipHost,
                       audit::VersionAuditHost,
                       audit::AuditLogHost,
@@ -54,8 +54,8 @@
     void apply_config(const ClusterConfig& new_config);
     // Notifies the other members that this one leaves. To be called after SIGTERM.
     void leave();
-    // net::FleetObserver
-    bool takes_revision(std::int64_t revision) override;
+    // net::ClusterObserver
+    bool accepts_revision(std::int64_t revision) override;
     void endpoint_list_applied(std::int64_t revision, EndpointListKind kind,
                                const std::vector<EndpointInfo>& endpoints,
                                const std::vector<net::Address>& addresses) override;
@@ -65,7 +65,7 @@
     void voted(Vote vote) override {
         audit_log_.add_vote(vote);
     }
-    void build_condemned() override {
+    void build_marked() override {
         audit_log_.add_condemned_build();
     }
 
--- a/src/cluster/config_reader.hpp
+++ b/src/cluster/config_reader.hpp
@@ -24,10 +24,10 @@
 
 // Creates parsers of single settings for the tables that are passed to group(). Collects faults and
 // throws nothing itself.
-class Reader {
+class ConfigReader {
   public:
     using SettingParser = std::function<void(const Setting&)>;
-    explicit Reader(std::vector<ConfigError>& faults) : faults_(faults) {}
+    explicit ConfigReader(std::vector<ConfigError>& faults) : faults_(faults) {}
 
     void fault(const Setting& at, const std::string& what) {
         const std::string path = at.getPath();
@@ -122,10 +122,10 @@
     std::vector<ConfigError>& faults_;
 };
 
-// Parses `text` and calls `read` with a Reader and the root setting. Returns the faults, ordered by
-// line.
+// Parses `text` and calls `read` with a ConfigReader and the root setting. Returns the faults,
+// ordered by line.
 template <class Read>
-std::vector<ConfigError> faults_in(const std::string& text, Read read) {
+std::vector<ConfigError> parse_config_text(const std::string& text, Read read) {
     std::vector<ConfigError> faults;
     libconfig::Config config;
     try {
@@ -133,7 +133,7 @@
     } catch (const libconfig::ParseException& error) {
         return {{error.getLine(), error.getError()}};
     }
-    Reader reader(faults);
+    ConfigReader reader(faults);
     read(reader, config.getRoot());
     std::stable_sort(faults.begin(), faults.end(),
                      [](auto& a, auto& b) { return a.line < b.line; });
--- a/src/cluster/frame.cpp
+++ b/src/cluster/frame.cpp
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-std::string frame_of(std::string_view body) {
+std::string encode_frame(std::string_view body) {
     std::string frame(kMagic);
     frame += encode_number(body.size(), 4);
     frame += encode_number(checksum_of(body), 8);
@@ -38,8 +38,8 @@
     return frame;
 }
 
-FrameRead next_frame(std::string_view bytes, std::size_t max_body_bytes, std::string_view& body,
-                     std::size_t& frame_bytes, std::string& error) {
+FrameRead decode_frame(std::string_view bytes, std::size_t max_body_bytes, std::string_view& body,
+                       std::size_t& frame_bytes, std::string& error) {
     const std::string_view prefix = bytes.substr(0, kMagic.size());
     if (prefix != kMagic.substr(0, prefix.size())) {
         error = "no frame: it does not begin with \"TLF1\"";
--- a/src/cluster/frame.hpp
+++ b/src/cluster/frame.hpp
@@ -16,11 +16,11 @@
     bad,   // not a frame, too long or damaged: the bytes that follow cannot be read
 };
 
-std::string frame_of(std::string_view body);
+std::string encode_frame(std::string_view body);
 // Reads the first frame of `bytes`. If it is whole, sets `body`, which points into `bytes`, and
 // `frame_bytes`, the size of the frame. If it is bad, sets `error`. `max_body_bytes` is the longest
 // body that is accepted.
-FrameRead next_frame(std::string_view bytes, std::size_t max_body_bytes, std::string_view& body,
-                     std::size_t& frame_bytes, std::string& error);
+FrameRead decode_frame(std::string_view bytes, std::size_t max_body_bytes, std::string_view& body,
+                       std::size_t& frame_bytes, std::string& error);
 
 }  // namespace tideline::cluster
--- a/src/cluster/member_query.cpp
+++ b/src/cluster/member_query.cpp
@@ -29,17 +29,17 @@
     send(first);
 }
 void QueryConnection::send(const wire::Word& message) {
-    put(frame_with(message));
+    put(encode_message(message));
 }
 void QueryConnection::on_received() {
     std::string_view body;
     for (std::size_t used = 0; !finished;) {
-        const FrameRead read = next_frame(in_.all(), kMaxFrameBytes, body, used, error);
+        const FrameRead read = decode_frame(in_.all(), kMaxFrameBytes, body, used, error);
         if (read == FrameRead::more) {
             return;
         }
         wire::Word message;
-        if (read == FrameRead::bad || !read_word(body, message) || !handle(message)) {
+        if (read == FrameRead::bad || !decode_message(body, message) || !handle(message)) {
             if (error.empty()) {
                 error = "unexpected or malformed answer";
             }
--- a/src/cluster/member_store.cpp
+++ b/src/cluster/member_store.cpp
@@ -81,12 +81,12 @@
         std::string error_text;
         wire::Word message;
         const FrameRead read =
-            next_frame(unread, kMaxEpochFileBytes, body, frame_bytes, error_text);
+            decode_frame(unread, kMaxEpochFileBytes, body, frame_bytes, error_text);
         if (read == FrameRead::more) {
             damage_ = "the last epoch of " + path + " was cut off: it is left out";
             break;
         }
-        if (read == FrameRead::bad || !read_word(body, message) || !message.has_record() ||
+        if (read == FrameRead::bad || !decode_message(body, message) || !message.has_record() ||
             message.record().epochs_size() != 1 || message.record().name() != name.value) {
             damage_ = path + " is damaged at byte " + std::to_string(text.size() - unread.size()) +
                       ": what follows is left out";
@@ -103,7 +103,7 @@
     size_ = fs::exists(path) ? fs::file_size(path, error) : 0;
 }
 
-bool MemberStore::keep(const audit::Epoch& epoch) {
+bool MemberStore::append_epoch(const audit::Epoch& epoch) {
     if (folder_.empty()) {
         return true;
     }
@@ -120,7 +120,7 @@
     one.epochs = {epoch};
     wire::Word message;
     put(one, *message.mutable_record());
-    const std::string frame = frame_with(message);
+    const std::string frame = encode_message(message);
     std::ofstream file(path, std::ios::binary | std::ios::app);
     file << frame << std::flush;
     size_ += frame.size();
--- a/src/cluster/member_store.hpp
+++ b/src/cluster/member_store.hpp
@@ -32,7 +32,7 @@
         return damage_;
     }
     // Appends the epoch. Returns false if it could not be written.
-    bool keep(const audit::Epoch& epoch);
+    bool append_epoch(const audit::Epoch& epoch);
 
   private:
     void read_epochs(const Name& name);
--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -291,8 +291,8 @@
 }
 
 // --- Rulings, and leaving the cluster
-void Membership::rule(Seconds now, const Name& name, const Incarnation& incarnation,
-                      bool excluded) {
+void Membership::rule_on_exclusion(Seconds now, const Name& name, const Incarnation& incarnation,
+                                   bool excluded) {
     const Entry* known = table_.find(name);
     if (!known || known->incarnation != incarnation || known->excluded == excluded) {
         return;
--- a/src/cluster/membership.hpp
+++ b/src/cluster/membership.hpp
@@ -81,11 +81,12 @@
     void unreachable(Seconds now, const Name& name);
 
     // Sets the versions that this member acts on.
-    void acts_on(Seconds, const Version& version) {
+    void set_own_versions(Seconds, const Version& version) {
         self_.version = version;
     }
     // Rules that the member is excluded or readmitted.
-    void rule(Seconds now, const Name& name, const Incarnation& incarnation, bool excluded);
+    void rule_on_exclusion(Seconds now, const Name& name, const Incarnation& incarnation,
+                           bool excluded);
     void leave(Seconds now);
     // Replaces the settings after a reload.
     void set_settings(const MembershipSettings& settings, std::vector<std::string> seeds) {
--- a/src/cluster/message_codec.cpp
+++ b/src/cluster/message_codec.cpp
@@ -165,10 +165,10 @@
     return number == kListNumber || number == kReleaseNumber;
 }
 
-std::string frame_with(const wire::Word& message) {
-    return frame_of(message.SerializeAsString());
+std::string encode_message(const wire::Word& message) {
+    return encode_frame(message.SerializeAsString());
 }
-bool read_word(std::string_view body, wire::Word& message) {
+bool decode_message(std::string_view body, wire::Word& message) {
     return message.ParseFromArray(body.data(), static_cast<int>(body.size())) &&
            message.what_case() != wire::Word::WHAT_NOT_SET;
 }
--- a/src/cluster/message_codec.hpp
+++ b/src/cluster/message_codec.hpp
@@ -24,9 +24,9 @@
 audit::VersionPart version_part_from(std::uint32_t number);
 bool is_version_part(std::uint32_t number);
 
-// Encode a message as a frame, and decode a message from the body of a frame. read_word() returns
-// false if the body holds no message.
-std::string frame_with(const wire::Word& message);
-bool read_word(std::string_view body, wire::Word& message);
+// Encode a message as a frame, and decode a message from the body of a frame. decode_message()
+// returns false if the body holds no message.
+std::string encode_message(const wire::Word& message);
+bool decode_message(std::string_view body, wire::Word& message);
 
 }  // namespace tideline::cluster
--- a/src/cluster/message_receiver.cpp
+++ b/src/cluster/message_receiver.cpp
@@ -20,7 +20,7 @@
     if (from.name.value.empty() || from.name == membership_.self().name) {
         return false;
     }
-    if (!connections_.assign(link, from.name, from.address)) {
+    if (!connections_.assign_member(link, from.name, from.address)) {
         log_.line("message rejected: claimed_sender={} reason=other_host", from.name.value);
         return false;
     }
--- a/src/cluster/peer_connections.cpp
+++ b/src/cluster/peer_connections.cpp
@@ -36,7 +36,7 @@
           last_used(net::clock_now()),
           connections_(all),
           outgoing_(outgoing) {
-        out_.bound(2 * (all.bounds_.max_frame_bytes + kFrameHeaderBytes));
+        out_.set_max_bytes(2 * (all.bounds_.max_frame_bytes + kFrameHeaderBytes));
     }
     LinkId id;
     Name name;
@@ -57,14 +57,14 @@
         for (std::string_view body; !closed();) {
             std::size_t frame_bytes = 0;
             std::string error;
-            const FrameRead read = next_frame(in_.all(), connections_.bounds_.max_frame_bytes, body,
-                                              frame_bytes, error);
+            const FrameRead read = decode_frame(in_.all(), connections_.bounds_.max_frame_bytes,
+                                                body, frame_bytes, error);
             wire::Word message;
             if (read == FrameRead::more) {
                 frame_begun_at = in_.empty() ? 0 : frame_begun_at > 0 ? frame_begun_at : now;
                 return;
             }
-            if (read == FrameRead::whole && !read_word(body, message)) {
+            if (read == FrameRead::whole && !decode_message(body, message)) {
                 error = "a frame without a message";
             }
             if (!error.empty()) {
@@ -146,7 +146,7 @@
     return connection.id;
 }
 void PeerConnections::send_frame(Link& link, const wire::Word& message) {
-    const std::string frame = frame_with(message);
+    const std::string frame = encode_message(message);
     if (frame.size() > bounds_.max_frame_bytes + kFrameHeaderBytes) {
         return owner_.log_message(
             "message not sent: bytes=" + std::to_string(frame.size()) +
@@ -193,7 +193,7 @@
 
 // Without this check, a client that claims the name of another member would receive the messages
 // for that member.
-bool PeerConnections::assign(LinkId id, const Name& name, const std::string& address) {
+bool PeerConnections::assign_member(LinkId id, const Name& name, const std::string& address) {
     Link* link = find(id);
     const auto at = net::address_of(address);
     if (!link || !at || link->peer_host() != at->host) {
--- a/src/cluster/peer_connections.hpp
+++ b/src/cluster/peer_connections.hpp
@@ -45,12 +45,12 @@
     // Sends over a new connection.
     void send(const std::string& address, const wire::Word& message);
     void reply(LinkId link, const wire::Word& message);
-    bool open(LinkId link) {
+    bool is_open(LinkId link) {
         return find(link) != nullptr;
     }
     // Assigns the connection to that member. Returns false if it comes from another host than the
     // member's address.
-    bool assign(LinkId link, const Name& name, const std::string& address);
+    bool assign_member(LinkId link, const Name& name, const std::string& address);
     void set_bounds(const Bounds& bounds) {
         bounds_ = bounds;
     }
--- a/src/cluster/planner_client.cpp
+++ b/src/cluster/planner_client.cpp
@@ -11,8 +11,8 @@
 namespace tideline::cluster {
 namespace {
 
+using lease::boottime_now;
 using lease::FencingToken;
-using lease::lasting_now;
 using lease::LeaseName;
 using lease::LeaseRequestId;
 
@@ -46,12 +46,12 @@
 }
 
 void PlannerClient::acquire(const LeaseName& lease) {
-    lease_client_.acquire(lasting_now(), lease);
+    lease_client_.acquire(boottime_now(), lease);
     schedule_tick();
 }
 void PlannerClient::release_all() {
     for (const LeaseName& lease : lease_client_.wanted_leases()) {
-        lease_client_.release(lasting_now(), lease);
+        lease_client_.release(boottime_now(), lease);
     }
     schedule_tick();
 }
@@ -60,7 +60,7 @@
     watch_timer_ = loop_.timers.at(net::clock_now() + kWatchInterval, [this] { watch(); });
 }
 std::optional<FencingToken> PlannerClient::may_act(const LeaseName& lease) const {
-    return lease_client_.may_act(lasting_now(), lease);
+    return lease_client_.may_act(boottime_now(), lease);
 }
 
 wire::LeaseAsk PlannerClient::make_request(wire::LeaseAsk::What what, std::uint64_t id,
@@ -122,7 +122,7 @@
 // Sends the changes of alarms that are due, each under the token of its lease.
 void PlannerClient::send_alarms() {
     expire_operations();
-    for (const AlarmChange& change : wanted_alarms_.take_due(lasting_now())) {
+    for (const AlarmChange& change : wanted_alarms_.take_due(boottime_now())) {
         const auto token = may_act(change.lease);
         if (!token) {
             wanted_alarms_.forget(change.lease);
@@ -177,7 +177,7 @@
 std::uint64_t PlannerClient::start_operation(const Operation& operation) {
     const std::uint64_t id = kFirstOperationId + ++last_operation_;
     operations_[id] = operation;
-    operations_[id].started_at = lasting_now();
+    operations_[id].started_at = boottime_now();
     return id;
 }
 bool PlannerClient::is_running(Operation::Kind kind, const LeaseName& lease,
@@ -189,7 +189,7 @@
 }
 // An operation whose answer was lost must not block the next operation of the same kind for ever.
 void PlannerClient::expire_operations() {
-    const Seconds now = lasting_now();
+    const Seconds now = boottime_now();
     std::erase_if(operations_, [&](const auto& each) {
         const bool reads = each.second.kind == Operation::Kind::read_document;
         return now > each.second.started_at + (reads ? kReadTimeout : kOperationTimeout);
@@ -211,7 +211,7 @@
 }
 void PlannerClient::handle_turn(const wire::Turn& turn) {
     if (turn.member() == self_.name.value && turn.life() == self_.incarnation.value) {
-        lease_client_.on_turn(lasting_now(), LeaseName{turn.lease()});
+        lease_client_.on_turn(boottime_now(), LeaseName{turn.lease()});
     }
     schedule_tick();
 }
@@ -254,7 +254,7 @@
                                           granted && answer.done());
     }
     if (operation.kind == Operation::Kind::set_alarm) {
-        wanted_alarms_.on_answer(lasting_now(), operation.lease, operation.key, granted);
+        wanted_alarms_.on_answer(boottime_now(), operation.lease, operation.key, granted);
         send_alarms();
         schedule_tick();
     }
@@ -286,7 +286,7 @@
     owner_.on_raised_alarms(lease, keys);
 }
 void PlannerClient::pass_to_lease_client(const wire::LeaseAnswer& answer) {
-    const Seconds now = lasting_now();
+    const Seconds now = boottime_now();
     const LeaseRequestId id{answer.no()};
     switch (static_cast<lease::Answer>(answer.what())) {
         case lease::Answer::granted:
@@ -307,9 +307,9 @@
     if (at == std::numeric_limits<double>::infinity()) {
         return;
     }
-    tick_timer_ = loop_.timers.at(net::clock_now() + std::max(0.0, at - lasting_now()), [this] {
+    tick_timer_ = loop_.timers.at(net::clock_now() + std::max(0.0, at - boottime_now()), [this] {
         tick_timer_ = net::Timers::kNone;
-        lease_client_.tick(lasting_now());
+        lease_client_.tick(boottime_now());
         send_alarms();
         schedule_tick();
     });
--- a/src/cluster/replication_agent.cpp
+++ b/src/cluster/replication_agent.cpp
@@ -10,7 +10,7 @@
 namespace tideline::cluster {
 namespace {
 
-using lease::lasting_now;
+using lease::boottime_now;
 using replication::Key;
 
 // Request number of the reports that the repair coordinator asks for.
@@ -43,15 +43,16 @@
       incarnation_(incarnation),
       replica_store_(cluster_config.folder, cluster_config.name, fresh_disk,
                      store_settings_of(cluster_config.replication)),
-      effect_log_(*this, settings_.effect_log, cluster_config.name, incarnation, lasting_now()),
+      effect_log_(*this, settings_.effect_log, cluster_config.name, incarnation, boottime_now()),
       repair_coordinator_(*this, settings_.repair_coordinator) {
     if (!replica_store_.load_fault().empty()) {
         log_.alarm("{}", replica_store_.load_fault());
     }
-    const Seconds now = lasting_now();
+    const Seconds now = boottime_now();
     replication::ReplicaHost& host = *this;
-    replica_ = std::make_unique<replication::Replica>(
-        host, settings_.replica, self_, replica_store_.disk(), replica_store_.take_found(), now);
+    replica_ = std::make_unique<replication::Replica>(host, settings_.replica, self_,
+                                                      replica_store_.disk(),
+                                                      replica_store_.take_stored_state(), now);
     log_.line("replica records loaded: count={} disk={:016x}", replica_->records(),
               replica_store_.disk().value);
     effect_log_.update_member(now, cluster_config.name, incarnation, false);
@@ -73,7 +74,7 @@
 void ReplicationAgent::begin(net::ObservedSidecar& sidecar) {
     sidecar_ = &sidecar;
     request_table({});
-    effect_log_.read(lasting_now(), key_of_seals(self_));
+    effect_log_.read(boottime_now(), key_of_seals(self_));
     scrub();
     schedule_tick();
 }
@@ -83,7 +84,7 @@
 }
 
 Seconds ReplicationAgent::time() const {
-    return lasting_now();
+    return boottime_now();
 }
 
 void ReplicationAgent::schedule_tick() {
@@ -92,9 +93,9 @@
     if (at == std::numeric_limits<double>::infinity()) {
         return;
     }
-    tick_timer_ = loop_.timers.at(net::clock_now() + std::max(0.0, at - lasting_now()), [this] {
+    tick_timer_ = loop_.timers.at(net::clock_now() + std::max(0.0, at - boottime_now()), [this] {
         tick_timer_ = net::Timers::kNone;
-        const Seconds now = lasting_now();
+        const Seconds now = boottime_now();
         if (disk_works_) {
             replica_->tick(now);
         }
@@ -107,7 +108,7 @@
 
 void ReplicationAgent::store(replication::WriteNumber write_number, replication::ShardId shard_id,
                              const replication::Record& record) {
-    replica_store_.put(write_number, shard_id, record, lasting_now());
+    replica_store_.put(write_number, shard_id, record, boottime_now());
 }
 
 void ReplicationAgent::store_removal(replication::WriteNumber write_number,
@@ -126,8 +127,8 @@
 }
 
 void ReplicationAgent::ready(short) {
-    const auto done = replica_store_.take_done();
-    const Seconds now = lasting_now();
+    const auto done = replica_store_.take_progress();
+    const Seconds now = boottime_now();
     if (!done.failed.empty() && std::exchange(disk_works_, false)) {
         log_.alarm("replica disk failed: reason=\"{}\" action=\"repair the disk, then restart\"",
                    done.failed);
@@ -172,10 +173,10 @@
     if (number > 0 && (!replication::table_from(bytes, table) || table.version.value != number)) {
         return log_.alarm("replica table unreadable: version={}", number);
     }
-    const Seconds now = lasting_now();
+    const Seconds now = boottime_now();
     // Planners that were set up anew restart the versions of the table at one. Without this alarm
     // no table would be applied any more, and the operator would not learn of it.
-    if (number >= replica_->newest_table_seen().value) {
+    if (number >= replica_->newest_table_version().value) {
         older_table_since_ = 0;
     } else if (older_table_since_ == 0) {
         older_table_since_ = now;
@@ -184,7 +185,7 @@
         log_.alarm(
             "replica table too old: version={} newest_applied={} action=\"if the planners were set "
             "up anew, empty this member's folder\"",
-            number, replica_->newest_table_seen().value);
+            number, replica_->newest_table_version().value);
     }
     if (number > 0) {
         if (disk_works_) {
@@ -222,7 +223,7 @@
 
 void ReplicationAgent::on_table_written(bool done) {
     if (!done) {
-        repair_coordinator_.proposal_failed(lasting_now());
+        repair_coordinator_.proposal_failed(boottime_now());
     }
     request_table({});
     schedule_tick();
@@ -239,20 +240,20 @@
 
 void ReplicationAgent::update_member(const Entry& entry) {
     const bool gone = entry.state >= MemberState::gone;
-    repair_coordinator_.update_member(lasting_now(), entry.name, entry.incarnation, entry.place,
+    repair_coordinator_.update_member(boottime_now(), entry.name, entry.incarnation, entry.place,
                                       !gone);
     net::Timers::Id& leaving = leave_timers_[entry.name];
     loop_.timers.cancel(leaving);
     if (entry.state != MemberState::left) {
-        return effect_log_.update_member(lasting_now(), entry.name, entry.incarnation, gone);
+        return effect_log_.update_member(boottime_now(), entry.name, entry.incarnation, gone);
     }
     // A member that leaves in order still answers the requests that it has accepted, so its
     // attempts are not treated as those of a failed member yet.
-    leaving = loop_.timers.at(net::clock_now() + kLeaveDelay,
-                              [this, name = entry.name, incarnation = entry.incarnation] {
-                                  leave_timers_[name] = net::Timers::kNone;
-                                  effect_log_.update_member(lasting_now(), name, incarnation, true);
-                              });
+    leaving = loop_.timers.at(
+        net::clock_now() + kLeaveDelay, [this, name = entry.name, incarnation = entry.incarnation] {
+            leave_timers_[name] = net::Timers::kNone;
+            effect_log_.update_member(boottime_now(), name, incarnation, true);
+        });
 }
 
 void ReplicationAgent::post(const Name& to, const wire::Holding& message) {
@@ -264,10 +265,10 @@
 }
 
 wire::HeldReport ReplicationAgent::make_report() {
-    replication::ReplicaReport report = replica_->report(lasting_now());
+    replication::ReplicaReport report = replica_->report(boottime_now());
     report.disk_works = disk_works_;
     wire::HeldReport message;
-    replication::put(report, effect_log_.silent_primaries(lasting_now()), message);
+    replication::put(report, effect_log_.silent_primaries(boottime_now()), message);
     message.set_granted(effect_log_.granted());
     message.set_uncopied(effect_log_.unreplicated());
     message.set_throttled(effect_log_.rejected());
@@ -285,7 +286,7 @@
 
 void ReplicationAgent::receive(const Name& from, const Incarnation& incarnation,
                                const wire::Holding& message) {
-    const Seconds now = lasting_now();
+    const Seconds now = boottime_now();
     if (message.has_ask_report()) {
         send_report(from, message.ask_report().no());
     } else if (message.has_report() && message.report().no() == kCoordinatorReportNumber) {
@@ -309,7 +310,7 @@
         log_.alarm("member removed by operator: member={}", message.give_up().name());
         repair_coordinator_.remove_member(now, Name{message.give_up().name()});
     } else if (disk_works_ || message.has_reply()) {
-        replication::hear(now, from, message, *replica_, effect_log_);
+        replication::dispatch_message(now, from, message, *replica_, effect_log_);
     }
     schedule_tick();
 }
--- a/src/cluster/replication_agent.hpp
+++ b/src/cluster/replication_agent.hpp
@@ -105,8 +105,8 @@
     void on_rejected(RequestId request, Seconds retry_after) override;
     void on_deferred(RequestId request) override;
     void on_answer_found(RequestId request, const std::string& answer) override;
-    void on_returned(RequestId request,
-                     const std::vector<replication::AttemptRecord>& earlier) override;
+    void on_returned_to_policy(RequestId request,
+                               const std::vector<replication::AttemptRecord>& earlier) override;
     void on_effect_unknown(RequestId request) override;
     void on_record_read(const replication::Key& key, const replication::Record* record) override;
     void on_alarm(const std::string& text) override {
--- a/src/cluster/replication_agent_queries.cpp
+++ b/src/cluster/replication_agent_queries.cpp
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-using lease::lasting_now;
+using lease::boottime_now;
 using replication::Key;
 
 void ReplicationAgent::replicate_epoch(const audit::Epoch& epoch) {
@@ -50,7 +50,7 @@
     one.epochs = {epoch};
     wire::Record message;
     cluster::put(one, message);
-    effect_log_.store_bytes(lasting_now(), key_of_epoch(self_, incarnation_.value, epoch.number),
+    effect_log_.store_bytes(boottime_now(), key_of_epoch(self_, incarnation_.value, epoch.number),
                             message.SerializeAsString());
     sealed_epochs_[incarnation_.value] = epoch.number;
     if (knows_sealed_epochs_) {
@@ -63,13 +63,13 @@
     while (sealed_epochs_.size() > kMaxIncarnations) {
         sealed_epochs_.erase(std::prev(sealed_epochs_.end()));
     }
-    effect_log_.store_bytes(lasting_now(), key_of_seals(self_), text_of(sealed_epochs_));
+    effect_log_.store_bytes(boottime_now(), key_of_seals(self_), text_of(sealed_epochs_));
 }
 
 void ReplicationAgent::answer_query(LinkId link, const wire::AskHoldings& ask) {
     OperatorQuery query;
     query.link = link;
-    query.deadline = lasting_now() + kQueryTimeout;
+    query.deadline = boottime_now() + kQueryTimeout;
     wire::Holdings& answer = query.answer;
     answer.set_asked(self_.value);
     answer.set_steward(owner_.repair_coordinator().value);
@@ -121,7 +121,7 @@
 
 void ReplicationAgent::start_read(OperatorQuery& query, const Key& key, const std::string& what) {
     query.reads[key] = what;
-    effect_log_.read(lasting_now(), key);
+    effect_log_.read(boottime_now(), key);
 }
 
 void ReplicationAgent::on_record_read(const Key& key, const replication::Record* record) {
@@ -145,7 +145,7 @@
         query.reads.erase(read);
         if (what == "record") {
             if (record) {
-                replication::put(lasting_now(), *record, *query.answer.mutable_record());
+                replication::put(boottime_now(), *record, *query.answer.mutable_record());
             }
         } else if (what.starts_with("seals ")) {
             const Name member{what.substr(6)};
@@ -155,7 +155,7 @@
                     query.reads[epoch] = "epoch";
                     // Deferred, because the effect log is still executing a call.
                     loop_.timers.soon([this, epoch] {
-                        effect_log_.read(lasting_now(), epoch);
+                        effect_log_.read(boottime_now(), epoch);
                         schedule_tick();
                     });
                 }
@@ -168,7 +168,7 @@
 }
 
 void ReplicationAgent::finish_queries() {
-    const Seconds now = lasting_now();
+    const Seconds now = boottime_now();
     for (auto it = queries_.begin(); it != queries_.end();) {
         OperatorQuery& query = it->second;
         if (now < query.deadline && (!query.awaited.empty() || !query.reads.empty())) {
--- a/src/cluster/replication_agent_sidecar.cpp
+++ b/src/cluster/replication_agent_sidecar.cpp
@@ -12,7 +12,7 @@
 
 namespace tideline::cluster {
 
-using lease::lasting_now;
+using lease::boottime_now;
 
 void ReplicationAgent::before_attempt(const net::AtMostOnceRequest& what, AttemptNumber attempt,
                                       const EndpointId& endpoint) {
@@ -21,7 +21,7 @@
     guarded.idempotent = what.idempotent;
     guarded.key = key_of({"effect", what.request_class, what.tenant, what.fingerprint});
     guarded.content = XXH3_64bits(what.statement.data(), what.statement.size());
-    const Seconds now = lasting_now();
+    const Seconds now = boottime_now();
     guarded.deadline = now + (what.deadline - net::clock_now());
     const EndpointInfo* info = owner_.find_endpoint(endpoint);
     effect_log_.before_attempt(now, guarded, attempt, info ? info->location : Location{},
@@ -31,14 +31,14 @@
 
 void ReplicationAgent::attempt_ended(RequestId request, AttemptNumber attempt, Outcome outcome,
                                      std::string_view answer) {
-    effect_log_.attempt_ended(lasting_now(), request, attempt,
+    effect_log_.attempt_ended(boottime_now(), request, attempt,
                               replication::attempt_outcome_of(outcome),
                               outcome == Outcome::succeeded ? std::string(answer) : std::string{});
     schedule_tick();
 }
 
 void ReplicationAgent::request_ended(RequestId request) {
-    effect_log_.request_ended(lasting_now(), request);
+    effect_log_.request_ended(boottime_now(), request);
     schedule_tick();
 }
 
@@ -61,10 +61,10 @@
     loop_.timers.soon([this, request, answer] { sidecar_->answer_found(request, answer); });
 }
 
-void ReplicationAgent::on_returned(RequestId request,
-                                   const std::vector<replication::AttemptRecord>& earlier) {
+void ReplicationAgent::on_returned_to_policy(
+    RequestId request, const std::vector<replication::AttemptRecord>& earlier) {
     std::vector<Attempt> attempts;
-    const Seconds now = lasting_now();
+    const Seconds now = boottime_now();
     const Seconds clock = net::clock_now();
     Seconds oldest_age = 0;
     for (const replication::AttemptRecord& each : earlier) {
--- a/src/lease/lease_client.cpp
+++ b/src/lease/lease_client.cpp
@@ -40,7 +40,7 @@
     const FencingToken token = it->second.token;
     // Another member may act once the lease is released, so this member stops acting first.
     if (token > FencingToken{}) {
-        lose(lease, it->second, LossReason::released);
+        mark_lost(lease, it->second, LossReason::released);
     }
     wanted_leases_.erase(it);
     if (token > FencingToken{}) {
@@ -73,7 +73,7 @@
     }
     return nullptr;  // the request was abandoned, so the time at which it was sent is not known
 }
-void LeaseClient::lose(const LeaseName& lease, WantedLease& wanted, LossReason reason) {
+void LeaseClient::mark_lost(const LeaseName& lease, WantedLease& wanted, LossReason reason) {
     const FencingToken token = std::exchange(wanted.token, FencingToken{});
     wanted.until = 0;
     host_->on_lost(lease, token, reason);
@@ -96,7 +96,7 @@
     if (const auto given = released_tokens_.find(lease);
         given != released_tokens_.end() && token <= given->second) {
         if (wanted->token > FencingToken{}) {
-            lose(lease, *wanted, LossReason::revoked);
+            mark_lost(lease, *wanted, LossReason::revoked);
         }
         release_token(lease, token);
         return back_off(now, *wanted);
@@ -109,7 +109,7 @@
         return;
     }
     if (wanted->token > FencingToken{} && wanted->token != token) {
-        lose(lease, *wanted, LossReason::revoked);
+        mark_lost(lease, *wanted, LossReason::revoked);
     }
     const bool newly_acquired = wanted->token == FencingToken{};
     wanted->token = token;
@@ -117,7 +117,7 @@
     wanted->failed_attempts = 0;
     wanted->queue_position = 0;
     wanted->next_request_at =
-        std::min(wanted->requested_at + span * kRenewalShare, now + settings_.renew_most);
+        std::min(wanted->requested_at + span * kRenewalShare, now + settings_.max_renewal_interval);
     if (newly_acquired) {
         host_->on_acquired(lease, token);
     }
@@ -129,11 +129,12 @@
         return;
     }
     if (wanted->token > FencingToken{}) {
-        lose(lease, *wanted, LossReason::revoked);
+        mark_lost(lease, *wanted, LossReason::revoked);
     }
     wanted->queue_position = before;
     wanted->failed_attempts = 0;
-    wanted->next_request_at = now + (before > 0 ? settings_.ask_again : settings_.answer_wait);
+    wanted->next_request_at =
+        now + (before > 0 ? settings_.queue_poll_interval : settings_.answer_wait);
 }
 void LeaseClient::on_over(Seconds now, LeaseRequestId id) {
     LeaseName lease;
@@ -143,7 +144,7 @@
     }
     const FencingToken token = wanted->token;
     if (token > FencingToken{}) {
-        lose(lease, *wanted, LossReason::revoked);
+        mark_lost(lease, *wanted, LossReason::revoked);
         // If the lease was revoked, this lets the next holder start before the lease would expire.
         release_token(lease, token);
     }
@@ -164,7 +165,7 @@
     if (!wanted) {
         return;
     }
-    wanted->next_request_at = now + settings_.ask_again * kMaxBackoffFactor;
+    wanted->next_request_at = now + settings_.queue_poll_interval * kMaxBackoffFactor;
 }
 void LeaseClient::on_turn(Seconds now, const LeaseName& lease) {
     const auto it = wanted_leases_.find(lease);
@@ -183,7 +184,7 @@
     bool switched_planner = false;
     for (auto& [lease, wanted] : wanted_leases_) {
         if (wanted.token > FencingToken{} && now >= wanted.until) {
-            lose(lease, wanted, LossReason::expired);
+            mark_lost(lease, wanted, LossReason::expired);
         }
         if (now < wanted.next_request_at) {
             continue;
--- a/src/lease/lease_client.hpp
+++ b/src/lease/lease_client.hpp
@@ -39,9 +39,9 @@
     // The timeout of a request, after which the client switches to another planner.
     Seconds answer_wait = 0.5;
     // The interval between requests while the member is in the queue.
-    Seconds ask_again = 2;
+    Seconds queue_poll_interval = 2;
     // The maximum interval between renewals. It is a third of the span if that is shorter.
-    Seconds renew_most = 2;
+    Seconds max_renewal_interval = 2;
     bool operator==(const LeaseClientSettings&) const = default;
 };
 
@@ -103,7 +103,7 @@
     WantedLease* close_request(LeaseRequestId id, LeaseName& lease);
     void send_request(Seconds now, const LeaseName& lease, WantedLease& wanted);
     void release_token(const LeaseName& lease, FencingToken token);
-    void lose(const LeaseName& lease, WantedLease& wanted, LossReason reason);
+    void mark_lost(const LeaseName& lease, WantedLease& wanted, LossReason reason);
     void back_off(Seconds now, WantedLease& wanted) const;
 
     LeaseClientHost* host_;
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -177,7 +177,7 @@
         return;
     }
     // While a request is in flight, further input stays in the kernel's buffer.
-    in_.bound(request_ ? kInitialBufferBytes : kMaxMessageBytes + kInitialBufferBytes);
+    in_.set_max_bytes(request_ ? kInitialBufferBytes : kMaxMessageBytes + kInitialBufferBytes);
     const State state = current_state();
     if (state == state_) {
         return;
--- a/src/net/cluster_observer.hpp
+++ b/src/net/cluster_observer.hpp
@@ -13,12 +13,12 @@
 namespace tideline::net {
 
 // Implemented by the cluster member: receives everything on which the sidecar acts.
-class FleetObserver {
+class ClusterObserver {
   public:
-    virtual ~FleetObserver() = default;
+    virtual ~ClusterObserver() = default;
     // Returns whether an endpoint list of this revision may be applied: false if it is older than
     // one that the cluster passed to the sidecar.
-    virtual bool takes_revision(std::int64_t revision) = 0;
+    virtual bool accepts_revision(std::int64_t revision) = 0;
     // The sidecar has applied this list; `addresses` holds the address of each element of
     // `endpoints`.
     virtual void endpoint_list_applied(std::int64_t revision, EndpointListKind kind,
@@ -33,7 +33,7 @@
     // The sidecar voted.
     virtual void voted(Vote vote) = 0;
     // The sidecar judged the build on trial to be bad.
-    virtual void build_condemned() = 0;
+    virtual void build_marked() = 0;
 };
 
 // Implemented by the sidecar: receives what the cluster knows and decides.
--- a/src/net/discovery_client.cpp
+++ b/src/net/discovery_client.cpp
@@ -23,7 +23,7 @@
 // another source. They are ignored: applied now, they would undo the newer ones.
 bool DiscoveryClient::apply_list(const json& list, bool from_configuration) {
     const auto revision = EndpointList::revision_of(list);
-    if (revision && !owner_.takes_revision(*revision)) {
+    if (revision && !owner_.accepts_revision(*revision)) {
         return true;
     }
     const EndpointListUpdate update = list_.read(list, from_configuration);
--- a/src/net/discovery_client.hpp
+++ b/src/net/discovery_client.hpp
@@ -41,7 +41,7 @@
         virtual void watch_restored(const std::string& details) = 0;
         // Returns false for a revision that is older than one that was received from another
         // source.
-        virtual bool takes_revision(std::int64_t revision) = 0;
+        virtual bool accepts_revision(std::int64_t revision) = 0;
     };
 
     // `settings` and `owner` must outlive the client. `configured_list` is the endpoint list in the
--- a/src/net/limits.hpp
+++ b/src/net/limits.hpp
@@ -134,7 +134,7 @@
 // Time after which the sidecar serves clients even without a confirmed endpoint list.
 constexpr Seconds kReadyTimeout = 5;
 // Clients may still connect for up to 0.4 s after SIGTERM; the sidecar serves them for this time.
-constexpr Seconds kShutdownOverlap = 0.45;
+constexpr Seconds kShutdownOverlapDuration = 0.45;
 // How long a shutdown waits for the rest of an incomplete message.
 constexpr Seconds kStalledClientTimeout = 1;
 // A pass of the event loop that exceeds its expected time by this much means that the process was
--- a/src/net/ring_buffer.hpp
+++ b/src/net/ring_buffer.hpp
@@ -22,7 +22,7 @@
         return size_ == 0;
     }
     // Changes the size limit; bytes beyond it stay.
-    void bound(std::size_t max_bytes) {
+    void set_max_bytes(std::size_t max_bytes) {
         max_bytes_ = max_bytes;
     }
     // Memory that the buffer takes up, in bytes.
--- a/src/net/sidecar.cpp
+++ b/src/net/sidecar.cpp
@@ -12,7 +12,7 @@
 
 namespace tideline::net {
 
-Sidecar::Sidecar(EventLoop& loop, Log& log, const SidecarConfig& config, FleetObserver* observer,
+Sidecar::Sidecar(EventLoop& loop, Log& log, const SidecarConfig& config, ClusterObserver* observer,
                  DuplicateEffectGuard* effect_guard)
     : loop_(loop),
       log_(log),
@@ -27,10 +27,11 @@
       guarded_effects_(effect_guard ? guarded_effects_of(settings_, request_classes_)
                                     : std::map<RequestClass, Effect>{}),
       clients_(loop, *this, longest_time_limit(settings_)),
-      endpoints_(loop, *this, config.need("allowed.connect_time"),
-                 config.need("allowed.keep_idle")),
+      endpoints_(loop, *this, config.required_number("allowed.connect_time"),
+                 config.required_number("allowed.keep_idle")),
       discovery_(loop, *this, settings_, config.discovery, config.initial_endpoint_list),
-      platform_(loop, *this, config.platform, config.need("release.vote_wait"), config.seed),
+      platform_(loop, *this, config.platform, config.required_number("release.vote_wait"),
+                config.seed),
       overlapping_attempts_(overlapping_attempts_allowed(settings_)),
       ready_by_(clock_now() + kReadyTimeout) {
     policy_ = std::make_unique<RoutingPolicy>(*this, settings_, config.seed, clock_now());
@@ -150,9 +151,9 @@
     platform_.vote(build, stage, vote);
 }
 
-void Sidecar::build_condemned(Build, Stage) {
+void Sidecar::build_marked(Build, Stage) {
     if (observer_) {
-        observer_->build_condemned();
+        observer_->build_marked();
     }
 }
 
--- a/src/net/sidecar.hpp
+++ b/src/net/sidecar.hpp
@@ -40,7 +40,7 @@
     // cluster does not replicate effects. All arguments but `config` must outlive the sidecar.
     // Throws std::runtime_error if the address can't be listened at or a setting is missing.
     Sidecar(EventLoop& loop, Log& log, const SidecarConfig& config,
-            FleetObserver* observer = nullptr, DuplicateEffectGuard* effect_guard = nullptr);
+            ClusterObserver* observer = nullptr, DuplicateEffectGuard* effect_guard = nullptr);
     ~Sidecar() override;
     Sidecar(const Sidecar&) = delete;
     Sidecar& operator=(const Sidecar&) = delete;
@@ -88,7 +88,7 @@
     void send_health_check(const EndpointId& endpoint) override;
     void watch_endpoint_list() override;
     void vote(Build build, Stage stage, Vote vote) override;
-    void build_condemned(Build build, Stage stage) override;
+    void build_marked(Build build, Stage stage) override;
     void set_timer(Seconds after, TimerId timer) override;
     void log_event(const std::string& text) override;
 
@@ -118,7 +118,7 @@
     void discovery_moved(Seconds since) override;
     void watch_lost(Seconds since, WatchLoss loss, const std::string& details) override;
     void watch_restored(const std::string& details) override;
-    bool takes_revision(std::int64_t revision) override;
+    bool accepts_revision(std::int64_t revision) override;
 
     // ReleasePlatformClient::Owner
     void stage_announced(Build build, Stage stage, Phase phase, double cap, Seconds age) override;
@@ -141,7 +141,7 @@
 
     EventLoop& loop_;
     Log& log_;
-    FleetObserver* const observer_;
+    ClusterObserver* const observer_;
     DuplicateEffectGuard* const effect_guard_;
     const Settings settings_;
     const std::string name_;
--- a/src/net/sidecar_config.cpp
+++ b/src/net/sidecar_config.cpp
@@ -70,7 +70,7 @@
 // sidecar is restarted with it.
 void check_settings(const SidecarConfig& config) {
     for (const char* setting : {"allowed.connect_time", "allowed.keep_idle", "release.vote_wait"}) {
-        const double value = config.need(setting);
+        const double value = config.required_number(setting);
         if (!(value > 0 && value < kMaxDuration)) {
             throw std::runtime_error(
                 fmt::format("setting {} is {} s; allowed is more than 0 s and less than {:.0f} s",
@@ -119,7 +119,7 @@
 
 }  // namespace
 
-double SidecarConfig::need(const std::string& setting) const {
+double SidecarConfig::required_number(const std::string& setting) const {
     const auto it = settings.find(setting);
     if (it == settings.end()) {
         throw std::runtime_error("setting " + setting + " is missing; required is a number");
--- a/src/net/sidecar_config.hpp
+++ b/src/net/sidecar_config.hpp
@@ -24,7 +24,7 @@
     std::string text;  // the text of the file
     // Returns the value of a numeric setting. Throws std::runtime_error that names the setting if
     // it is missing or not a number.
-    double need(const std::string& setting) const;
+    double required_number(const std::string& setting) const;
 };
 
 // Reads and validates a configuration file. Throws std::exception with a one-line message that
--- a/src/net/sidecar_updates.cpp
+++ b/src/net/sidecar_updates.cpp
@@ -62,8 +62,8 @@
     log_.line("endpoint list watch restored: {}", details);
 }
 
-bool Sidecar::takes_revision(std::int64_t revision) {
-    return observer_ == nullptr || observer_->takes_revision(revision);
+bool Sidecar::accepts_revision(std::int64_t revision) {
+    return observer_ == nullptr || observer_->accepts_revision(revision);
 }
 
 // --- Release platform
@@ -138,7 +138,7 @@
               loop_.watched_count() + kUnwatchedDescriptors,
               loop_.peak_watched_count() + kUnwatchedDescriptors, text_of_resource_usage());
     std::string reasons;
-    for (int i = 0; i < kRejectionReasons; ++i) {
+    for (int i = 0; i < kRejectionReasonCount; ++i) {
         const long rejections = policy_->rejections(static_cast<RejectionReason>(i));
         reasons += fmt::format(" {}={}", kRejectionReasonNames[i], rejections);
     }
--- a/src/planner/planner.cpp
+++ b/src/planner/planner.cpp
@@ -11,7 +11,7 @@
 namespace tideline::planner {
 namespace {
 
-using lease::lasting_now;
+using lease::boottime_now;
 
 // The delay before a cluster is founded. By then other planners have reported whether they belong
 // to a cluster already.
@@ -54,8 +54,8 @@
                                        planner_config_.snapshot_after_entries};
     PlannerCoreHost& host = *this;
     planner_core_ = std::make_unique<PlannerCore>(host, settings, self(), std::move(state),
-                                                  raft_storage_.disk().value, lasting_now());
-    planner_core_->set_unix_offset(net::wall_time() - lasting_now());
+                                                  raft_storage_.disk().value, boottime_now());
+    planner_core_->set_unix_offset(net::wall_time() - boottime_now());
 }
 
 void Planner::begin() {
@@ -116,7 +116,7 @@
         fatal_error_ = error.what();
         return;
     }
-    const Seconds now = lasting_now();
+    const Seconds now = boottime_now();
     planner_core_->with_raft(now,
                              [&](raft::Raft& raft) { raft.on_persisted(now, last_persist_id_); });
     schedule_tick();
@@ -129,7 +129,7 @@
     if (planner_core_->wants_round() && batch_timer_ == net::Timers::kNone) {
         batch_timer_ = loop_.timers.soon([this] {
             batch_timer_ = net::Timers::kNone;
-            planner_core_->end_batch(lasting_now());
+            planner_core_->end_batch(boottime_now());
             schedule_tick();
         });
     }
@@ -138,10 +138,10 @@
     if (at == std::numeric_limits<double>::infinity()) {
         return;
     }
-    tick_timer_ = loop_.timers.at(net::clock_now() + std::max(0.0, at - lasting_now()), [this] {
+    tick_timer_ = loop_.timers.at(net::clock_now() + std::max(0.0, at - boottime_now()), [this] {
         tick_timer_ = net::Timers::kNone;
-        planner_core_->set_unix_offset(net::wall_time() - lasting_now());
-        planner_core_->tick(lasting_now());
+        planner_core_->set_unix_offset(net::wall_time() - boottime_now());
+        planner_core_->tick(boottime_now());
         schedule_tick();
     });
 }
--- a/src/planner/planner_config.cpp
+++ b/src/planner/planner_config.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-using cluster::Reader;
+using cluster::ConfigReader;
 
 constexpr int kMaxPlanners = 9;
 constexpr double kMaxFrameBytes = 64.0 * 1024 * 1024;
 
-void read_planners(Reader& read, const Setting& from, PlannerConfig& planner_config) {
+void read_planners(ConfigReader& read, const Setting& from, PlannerConfig& planner_config) {
     if (!from.isList()) {
         return read.fault(from, "is not a list of groups; allowed: ( { ... }, { ... } )");
     }
@@ -33,14 +33,14 @@
     }
 }
 
-void read_leases(Reader& read, const Setting& from, lease::LeaseManagerSettings& leases) {
+void read_leases(ConfigReader& read, const Setting& from, lease::LeaseManagerSettings& leases) {
     read.group(from, {{"span", read.number(leases.span, 0.2, 3600, " s")},
                       {"drift", read.number(leases.drift, 0, 0.1)},
                       {"claim", read.number(leases.claim, 0.05, 60, " s")},
                       {"absent", read.number(leases.absent, 0.5, 3600, " s")}});
 }
 
-void read_log(Reader& read, const Setting& from, PlannerConfig& planner_config) {
+void read_log(ConfigReader& read, const Setting& from, PlannerConfig& planner_config) {
     raft::RaftSettings& log = planner_config.raft;
     read.group(from, {{"heartbeat", read.number(log.heartbeat_interval, 0.01, 10, " s")},
                       {"election_least", read.number(log.election_timeout_min, 0.05, 60, " s")},
@@ -58,14 +58,14 @@
     }
 }
 
-void read_limits(Reader& read, const Setting& from, PlannerConfig& planner_config) {
+void read_limits(ConfigReader& read, const Setting& from, PlannerConfig& planner_config) {
     read.group(
         from,
         {{"links", read.number(planner_config.max_connections, 16, 100000)},
          {"frame", read.number(planner_config.max_frame_bytes, 65536, kMaxFrameBytes, " bytes")}});
 }
 
-void check_planner(Reader& read, const Setting& from, const PlannerConfig& planner_config) {
+void check_planner(ConfigReader& read, const Setting& from, const PlannerConfig& planner_config) {
     for (const char* needed : {"name", "listen", "folder", "planners"}) {
         if (from.isGroup() && !from.exists(needed)) {
             read.fault(from, std::string(needed) + " is missing");
@@ -80,7 +80,7 @@
     }
 }
 
-void read_planner(Reader& read, const Setting& from, PlannerConfig& planner_config) {
+void read_planner(ConfigReader& read, const Setting& from, PlannerConfig& planner_config) {
     const auto planners = [&](const Setting& group) { read_planners(read, group, planner_config); };
     const auto leases = [&](const Setting& group) {
         read_leases(read, group, planner_config.leases);
@@ -102,7 +102,7 @@
 
 std::vector<ConfigError> read_planner_config(const std::string& text,
                                              PlannerConfig& planner_config) {
-    return cluster::faults_in(text, [&](Reader& read, const Setting& root) {
+    return cluster::parse_config_text(text, [&](ConfigReader& read, const Setting& root) {
         if (!root.exists("planner")) {
             read.fault(root, "planner is missing");
         }
--- a/src/planner/planner_core.cpp
+++ b/src/planner/planner_core.cpp
@@ -65,7 +65,7 @@
                                                  const std::string& address) {
     raft::VoterMembership first;
     first.admit(name, self, address);
-    return {{{1}, {}}, {{1}, {1}, first.target_voters(), state_of({}, first)}, {}};
+    return {{{1}, {}}, {{1}, {1}, first.target_voters(), encode_state({}, first)}, {}};
 }
 
 void PlannerCore::apply(LogIndex at, const LogEntry& entry) {
@@ -264,7 +264,7 @@
     }
     if (raft_.last_applied().value >
         raft_.snapshot_index().value + settings_.snapshot_after_entries) {
-        raft_.compact(raft_.last_applied(), state_of(leases_, voter_membership_));
+        raft_.compact(raft_.last_applied(), encode_state(leases_, voter_membership_));
     }
 }
 // Proposes the next change of the voter set towards the admitted planners.
--- a/src/planner/planner_messages.cpp
+++ b/src/planner/planner_messages.cpp
@@ -8,7 +8,7 @@
 
 using cluster::LinkId;
 using cluster::Name;
-using lease::lasting_now;
+using lease::boottime_now;
 using lease::LeaseRequestId;
 
 // The interval between announcements, and between removals of expired state.
@@ -57,7 +57,7 @@
             }
         }
     }
-    remove_expired(lasting_now());
+    remove_expired(boottime_now());
     announce_timer_ = loop_.timers.at(net::clock_now() + kAnnounceInterval, [this] { announce(); });
 }
 
@@ -65,7 +65,7 @@
     std::erase_if(pending_requests_,
                   [&](auto& each) { return now > each.second.received_at + kRequestTimeout; });
     std::erase_if(watchers_, [&](auto& each) {
-        return now > each.second || !peer_connections_.open(each.first);
+        return now > each.second || !peer_connections_.is_open(each.first);
     });
     directory_.remove_expired(now);
 }
@@ -130,7 +130,7 @@
     if (name.value.empty() || name == planner_config_.name) {
         return;
     }
-    if (!peer_connections_.assign(link, name, address)) {
+    if (!peer_connections_.assign_member(link, name, address)) {
         return log_.line("planner: message rejected: sender={} reason=wrong_address", name.value);
     }
     if (planning.has_knock() && handle_announcement(name, address, planning)) {
@@ -143,7 +143,7 @@
         return;
     }
     directory_.record_planner(ServerId{planning.from()}, name, address);
-    handle_raft_message(*planner_core_, lasting_now(), planning);
+    handle_raft_message(*planner_core_, boottime_now(), planning);
 }
 
 // Returns whether the message is handled completely.
@@ -158,7 +158,7 @@
     }
     const wire::PlannerKnock& announcement = planning.knock();
     consider_admission(Name{announcement.name()}, announcement.address(),
-                       ServerId{announcement.peer()}, lasting_now());
+                       ServerId{announcement.peer()}, boottime_now());
     return true;
 }
 
--- a/src/planner/planner_requests.cpp
+++ b/src/planner/planner_requests.cpp
@@ -10,8 +10,8 @@
 
 using cluster::LinkId;
 using cluster::Name;
+using lease::boottime_now;
 using lease::FencingToken;
-using lease::lasting_now;
 using lease::LeaseName;
 using lease::LeaseRequestId;
 using lease::Member;
@@ -113,7 +113,7 @@
 }
 
 void Planner::handle_lease_request(LinkId link, const wire::Word& message) {
-    const Seconds now = lasting_now();
+    const Seconds now = boottime_now();
     const wire::LeaseAsk& ask = message.lease_ask();
     if (pending_requests_.size() >= kMaxPendingRequests) {
         return;  // the sender repeats the request
@@ -260,7 +260,7 @@
 }
 
 void Planner::fill_table(wire::PlannerTable& table) const {
-    const Seconds now = lasting_now();
+    const Seconds now = boottime_now();
     table.set_asked(planner_config_.name.value);
     if (!planner_core_) {
         return;
--- a/src/planner/raft_storage.cpp
+++ b/src/planner/raft_storage.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 using storage::place_of;
-using storage::sum_of;
+using storage::seeded_checksum;
 using storage::Transaction;
 
 constexpr const char* kDatabaseFile = "planner.db";
@@ -49,7 +49,7 @@
 }
 
 void RaftStorage::load(const raft::Name& name) {
-    if (!database_.sound()) {
+    if (!database_.is_well_formed()) {
         fail_damaged("SQLite finds it malformed");
     }
     read_identity(name);
@@ -108,7 +108,7 @@
         }
         const std::string bytes = rows.bytes(1);
         wire::LogRecord entry;
-        if (sum_of(bytes, index) != rows.number(2) || !entry.ParseFromString(bytes)) {
+        if (seeded_checksum(bytes, index) != rows.number(2) || !entry.ParseFromString(bytes)) {
             fail_damaged(fmt::format("log entry {} was altered", index));
         }
         state_.entries.push_back(decode_entry(entry));
@@ -128,7 +128,7 @@
         return std::nullopt;
     }
     std::string bytes = row.bytes(0);
-    if (sum_of(bytes, place_of(key)) != row.number(1)) {
+    if (seeded_checksum(bytes, place_of(key)) != row.number(1)) {
         fail_damaged(fmt::format("its {} was altered", key));
     }
     return bytes;
@@ -138,7 +138,7 @@
     Statement(database_, "INSERT OR REPLACE INTO kept (key, bytes, sum) VALUES (?, ?, ?)")
         .with(1, std::string(key))
         .with(2, bytes)
-        .with(3, sum_of(bytes, place_of(key)))
+        .with(3, seeded_checksum(bytes, place_of(key)))
         .step();
 }
 
@@ -149,7 +149,7 @@
     Statement(database_, "INSERT INTO log (at, bytes, sum) VALUES (?, ?, ?)")
         .with(1, static_cast<std::int64_t>(index))
         .with(2, bytes)
-        .with(3, sum_of(bytes, index))
+        .with(3, seeded_checksum(bytes, index))
         .step();
 }
 
--- a/src/planner/storage_codec.cpp
+++ b/src/planner/storage_codec.cpp
@@ -103,8 +103,8 @@
 void encode(const lease::LeaseStateMachine& leases, wire::PlannerTable& to) {
     encode_leases(leases, to);
 }
-std::string state_of(const lease::LeaseStateMachine& leases,
-                     const raft::VoterMembership& voter_membership) {
+std::string encode_state(const lease::LeaseStateMachine& leases,
+                         const raft::VoterMembership& voter_membership) {
     wire::PlannerState state;
     encode_leases(leases, state);
     encode(voter_membership.target_voters(), *state.mutable_admitted());
--- a/src/planner/storage_codec.hpp
+++ b/src/planner/storage_codec.hpp
@@ -22,8 +22,8 @@
 void encode(const lease::LeaseStateMachine& leases, wire::PlannerTable& to);
 // Serialize the replicated state for a snapshot, and restore it. restore returns false and changes
 // nothing if the bytes can't be parsed.
-std::string state_of(const lease::LeaseStateMachine& leases,
-                     const raft::VoterMembership& voter_membership);
+std::string encode_state(const lease::LeaseStateMachine& leases,
+                         const raft::VoterMembership& voter_membership);
 bool restore(const std::string& state, lease::LeaseStateMachine& leases,
              raft::VoterMembership& voter_membership);
 // The result of applying a command.
--- a/src/policy/records.hpp
+++ b/src/policy/records.hpp
@@ -70,9 +70,9 @@
     timed_out,              // the attempt timed out at the deadline of the request
     never_sent,             // the attempt got no connection, and it is too late for another
 };
-constexpr int kRejectionReasons = static_cast<int>(RejectionReason::never_sent) + 1;
+constexpr int kRejectionReasonCount = static_cast<int>(RejectionReason::never_sent) + 1;
 // The names of the reasons in logs and counters, in the order of RejectionReason.
-constexpr std::array<const char*, kRejectionReasons> kRejectionReasonNames = {
+constexpr std::array<const char*, kRejectionReasonCount> kRejectionReasonNames = {
     "attempts_used", "shed",     "over_quota", "no_endpoint", "endpoint_list_expired",
     "paused",        "too_late", "timed_out",  "never_sent"};
 
--- a/src/policy/rejection_counters.hpp
+++ b/src/policy/rejection_counters.hpp
@@ -18,7 +18,7 @@
     }
 
   private:
-    std::array<long, kRejectionReasons> counts_{};
+    std::array<long, kRejectionReasonCount> counts_{};
 };
 
 }  // namespace tideline
--- a/src/policy/routing_policy.cpp
+++ b/src/policy/routing_policy.cpp
@@ -67,7 +67,7 @@
     }
     void judge_release(Seconds now) {
         for (const ChargeMark& mark : modules.judge.tick(now)) {
-            modules.host.build_condemned(mark.build, mark.stage);
+            modules.host.build_marked(mark.build, mark.stage);
             modules.host.log_event(mark.text());
         }
     }
--- a/src/policy/routing_policy.hpp
+++ b/src/policy/routing_policy.hpp
@@ -32,7 +32,7 @@
     // Sets a timer, which can't be cancelled.
     virtual void set_timer(Seconds delay, TimerId timer) = 0;
     // The build was judged to be bad; a log line gives the reason.
-    virtual void build_condemned(Build, Stage) {}
+    virtual void build_marked(Build, Stage) {}
     virtual void log_event(const std::string& text) = 0;
 };
 
--- a/src/replication/effect_log_client_host.hpp
+++ b/src/replication/effect_log_client_host.hpp
@@ -38,7 +38,8 @@
     // The request has run before, with this answer.
     virtual void on_answer_found(RequestId request, const std::string& answer) = 0;
     // The request has to be routed again, taking these earlier attempts into account.
-    virtual void on_returned(RequestId request, const std::vector<AttemptRecord>& earlier) = 0;
+    virtual void on_returned_to_policy(RequestId request,
+                                       const std::vector<AttemptRecord>& earlier) = 0;
     // The request may have run, and it can't be determined whether it has.
     virtual void on_effect_unknown(RequestId request) = 0;
     // Result of EffectLogClient::read. `record` is null if there is no record.
--- a/src/replication/effect_log_replies.cpp
+++ b/src/replication/effect_log_replies.cpp
@@ -121,7 +121,7 @@
         open.known_version = record->version;
     }
     open.phase = Phase::routing;  // until the policy has chosen an endpoint again
-    host_->on_returned(request, earlier);
+    host_->on_returned_to_policy(request, earlier);
 }
 
 }  // namespace tideline::replication
--- a/src/replication/message_codec.hpp
+++ b/src/replication/message_codec.hpp
@@ -56,7 +56,7 @@
 
 // Passes a message of another member to the replica or to the client of the effect log. Reports and
 // messages of operators are handled by the caller.
-void hear(Seconds now, const Name& from, const wire::Holding& message, Replica& replica,
-          EffectLogClient& effect_log);
+void dispatch_message(Seconds now, const Name& from, const wire::Holding& message, Replica& replica,
+                      EffectLogClient& effect_log);
 
 }  // namespace tideline::replication
--- a/src/replication/message_receiver.cpp
+++ b/src/replication/message_receiver.cpp
@@ -56,8 +56,8 @@
 
 }  // namespace
 
-void hear(Seconds now, const Name& from, const wire::Holding& message, Replica& replica,
-          EffectLogClient& effect_log) {
+void dispatch_message(Seconds now, const Name& from, const wire::Holding& message, Replica& replica,
+                      EffectLogClient& effect_log) {
     switch (message.what_case()) {
         case wire::Holding::kAsk:
             return receive_request(now, from, message.ask(), replica);
--- a/src/replication/placement.cpp
+++ b/src/replication/placement.cpp
@@ -7,8 +7,8 @@
 
 namespace tideline::replication {
 
-std::vector<Name> placed(ShardId shard_id, const std::map<Name, Place>& members,
-                         std::size_t wanted) {
+std::vector<Name> place_replicas(ShardId shard_id, const std::map<Name, Place>& members,
+                                 std::size_t wanted) {
     std::vector<std::pair<std::uint64_t, const Name*>> order;
     order.reserve(members.size());
     for (const auto& [name, place] : members) {
--- a/src/replication/placement.hpp
+++ b/src/replication/placement.hpp
@@ -11,7 +11,7 @@
 
 // Returns the `wanted` best-ranked of `members`, the primary first, or fewer if there are not
 // enough members. The same input gives the same result.
-std::vector<Name> placed(ShardId shard_id, const std::map<Name, Place>& members,
-                         std::size_t wanted);
+std::vector<Name> place_replicas(ShardId shard_id, const std::map<Name, Place>& members,
+                                 std::size_t wanted);
 
 }  // namespace tideline::replication
--- a/src/replication/replica.cpp
+++ b/src/replication/replica.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 // Bits of a version's step that count the writes of one start of the process.
-constexpr unsigned kStepBitsOfOneStart = 40;
+constexpr unsigned kStepBitsPerStart = 40;
 // Bits of a message number that count the messages of one start of the process.
 constexpr unsigned kMessageBitsPerStart = 32;
 
@@ -39,7 +39,7 @@
       repair_allowance_(settings.repair_rate, now),
       // A write may have reached other members although this disk lost it in a crash, so a later
       // write must not get the same step.
-      last_step_(found.start_count << kStepBitsOfOneStart),
+      last_step_(found.start_count << kStepBitsPerStart),
       due_(now) {
     for (auto& [shard_id, record] : found.records) {
         record.expires_at += now;
--- a/src/replication/replica.hpp
+++ b/src/replication/replica.hpp
@@ -105,7 +105,7 @@
     }
     // Version of the newest table that was ever applied. Older tables are ignored, even after a
     // restart.
-    TableVersion newest_table_seen() const {
+    TableVersion newest_table_version() const {
         return newest_table_;
     }
     // Builds the report for the repair coordinator. This changes state: from now on, writes wait
--- a/src/replication/replica_catch_up.cpp
+++ b/src/replication/replica_catch_up.cpp
@@ -44,7 +44,7 @@
         }
         for (auto wait = operation.awaited.begin(); wait != operation.awaited.end();) {
             Peer& peer = shard.peers[wait->first];
-            if (peer.writes_wait || now < wait->second + settings_.lag_limit) {
+            if (peer.required_for_writes || now < wait->second + settings_.lag_limit) {
                 ++wait;
                 continue;
             }
--- a/src/replication/replica_metadata.hpp
+++ b/src/replication/replica_metadata.hpp
@@ -69,7 +69,7 @@
   private:
     using Statement = storage::SqliteDatabase::Statement;
     static std::int64_t checksum_of(const char* name, const std::string& bytes) {
-        return storage::sum_of(bytes, storage::place_of(name));
+        return storage::seeded_checksum(bytes, storage::place_of(name));
     }
 
     const storage::SqliteDatabase& database_;
--- a/src/replication/replica_operations.cpp
+++ b/src/replication/replica_operations.cpp
@@ -50,7 +50,7 @@
         shard.active_operations[operation.key] = number;
         // A member that has not caught up gets the key after the other keys that it lacks.
         for (auto& [name, peer] : shard.peers) {
-            if (peer.writes_wait || peer.caught_up) {
+            if (peer.required_for_writes || peer.caught_up) {
                 operation.awaited[name] = now;
             } else {
                 peer.to_send.push_back(operation.key);
--- a/src/replication/replica_set_planner.cpp
+++ b/src/replication/replica_set_planner.cpp
@@ -69,8 +69,8 @@
         }
     }
     const bool enough = available.size() >= settings_.min_replicas;
-    const std::vector<Name> ideal =
-        placed(shard_id, enough ? candidates.eligible : candidates.healthy, settings_.replicas);
+    const std::vector<Name> ideal = place_replicas(
+        shard_id, enough ? candidates.eligible : candidates.healthy, settings_.replicas);
     if (kept.empty()) {
         replace_lost_replicas(replica_set, ideal, next.version);
     } else {
@@ -247,7 +247,7 @@
     }
     table.shards.resize(settings_.shards);
     for (std::uint32_t i = 0; i < settings_.shards; ++i) {
-        table.shards[i].replicas = placed(ShardId{i}, places, settings_.replicas);
+        table.shards[i].replicas = place_replicas(ShardId{i}, places, settings_.replicas);
         table.shards[i].since_table = table.version;
     }
 }
--- a/src/replication/replica_shard.cpp
+++ b/src/replication/replica_shard.cpp
@@ -7,7 +7,7 @@
 void Shard::open_if_caught_up() {
     open = open || std::none_of(peers.begin(), peers.end(), [](const auto& each) {
                const Peer& peer = each.second;
-               return peer.writes_wait && !peer.caught_up;
+               return peer.required_for_writes && !peer.caught_up;
            });
 }
 
--- a/src/replication/replica_shard.hpp
+++ b/src/replication/replica_shard.hpp
@@ -20,7 +20,7 @@
     bool caught_up = false;
     // The member is a replica or was reported as caught up: writes are acknowledged only after it
     // has stored them.
-    bool writes_wait = false;
+    bool required_for_writes = false;
     // Number of the digests message that the member has not answered; 0: none.
     MessageNumber pending_comparison;
     // When the digests were sent.
--- a/src/replication/replica_status.cpp
+++ b/src/replication/replica_status.cpp
@@ -32,7 +32,7 @@
         for (auto& [name, peer] : shard.peers) {
             if (peer.caught_up && shard.replica_set.is_catching_up(name)) {
                 report.caught_up.emplace_back(shard_id, name);
-                peer.writes_wait = true;
+                peer.required_for_writes = true;
             }
             report.records_to_send += peer.to_send.size() + peer.repairs.size();
         }
--- a/src/replication/replica_store.cpp
+++ b/src/replication/replica_store.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 std::int64_t row_checksum(const std::string& bytes, ShardId shard_id, const std::string& key) {
-    return storage::sum_of(bytes, storage::place_of(key) + shard_id.value);
+    return storage::seeded_checksum(bytes, storage::place_of(key) + shard_id.value);
 }
 
 }  // namespace
@@ -81,7 +81,7 @@
     database_->run("COMMIT");
 }
 void ReplicaStore::load_database(const Name& name) {
-    if (!database_->sound()) {
+    if (!database_->is_well_formed()) {
         throw storage::DamagedFileError(database_->path() + ": SQLite finds it malformed");
     }
     const ReplicaMetadata metadata(*database_);
@@ -173,7 +173,7 @@
     enqueue(Task{Task::Kind::scrub, {}, shard_id});
 }
 
-ReplicaStore::Done ReplicaStore::take_done() {
+ReplicaStore::Done ReplicaStore::take_progress() {
     std::uint64_t count = 0;
     while (::read(ready_descriptor_, &count, sizeof count) > 0) {
     }
@@ -318,7 +318,7 @@
 
 bool ReplicaStore::is_intact_on_disk(ShardId shard_id) {
     // Otherwise SQLite would read its cached pages instead of the disk.
-    database_->forget_pages();
+    database_->release_cached_pages();
     const ShardChecksums& expected = checksums_[shard_id];
     std::size_t count = 0;
     Statement rows(*database_, "SELECT key, bytes, sum FROM held WHERE slot = ?");
--- a/src/replication/replica_store.hpp
+++ b/src/replication/replica_store.hpp
@@ -51,7 +51,7 @@
         return load_fault_;
     }
     // Returns the contents of the disk when it was opened. Has to be called only once.
-    StoredState take_found() {
+    StoredState take_stored_state() {
         return std::move(found_);
     }
 
@@ -65,7 +65,7 @@
     // Verifies the stored rows of the shard after the earlier tasks.
     void scrub(ShardId shard_id);
 
-    // A file descriptor that is readable when take_done() has news. It is owned by the store.
+    // A file descriptor that is readable when take_progress() has news. It is owned by the store.
     int ready() const {
         return ready_descriptor_;
     }
@@ -75,7 +75,7 @@
         std::vector<ShardId> corrupt;  // shards found corrupt by scrubbing
     };
     // Returns the progress since the last call. `up_to` and `failed` are repeated by each call.
-    Done take_done();
+    Done take_progress();
     // Counters for measurements.
     std::uint64_t commits() const {
         return commits_;
--- a/src/replication/replica_table.cpp
+++ b/src/replication/replica_table.cpp
@@ -109,11 +109,11 @@
         if (name == self_) {
             continue;
         }
-        shard.peers[name].writes_wait = true;
+        shard.peers[name].required_for_writes = true;
         start_comparison(now, shard_id, shard, name);
     }
     for (const Name& name : replica_set.catching_up) {
-        shard.peers[name].writes_wait = first_assignment;
+        shard.peers[name].required_for_writes = first_assignment;
         start_comparison(now, shard_id, shard, name);
     }
     shard.next_comparison_at = now + settings_.comparison_interval;
--- a/src/storage/sqlite_database.cpp
+++ b/src/storage/sqlite_database.cpp
@@ -44,7 +44,7 @@
         throw_error(sql);
     }
 }
-bool SqliteDatabase::sound() {
+bool SqliteDatabase::is_well_formed() {
     Statement check(*this, "PRAGMA quick_check(1)");
     return check.step() && check.bytes(0) == "ok";
 }
@@ -102,7 +102,7 @@
     committed_ = true;
 }
 
-std::int64_t sum_of(std::string_view bytes, std::uint64_t place) {
+std::int64_t seeded_checksum(std::string_view bytes, std::uint64_t place) {
     return static_cast<std::int64_t>(
         XXH3_64bits_withSeed(bytes.data(), bytes.size(), place + bytes.size()));
 }
--- a/src/storage/sqlite_database.hpp
+++ b/src/storage/sqlite_database.hpp
@@ -35,9 +35,9 @@
     // Executes statements that return no rows.
     void run(const char* sql);
     // Whether SQLite's quick check finds the file well-formed.
-    bool sound();
+    bool is_well_formed();
     // Drops the cached pages, so that the next reads come from the file.
-    void forget_pages() {
+    void release_cached_pages() {
         sqlite3_db_release_memory(db_.get());
     }
 
@@ -104,7 +104,7 @@
 // Returns the checksum of a row. It is needed because SQLite detects a torn write but not an
 // altered byte. It also covers the place of the row, a number that is derived from its key, so that
 // a row that was moved to another key does not match.
-std::int64_t sum_of(std::string_view bytes, std::uint64_t place);
+std::int64_t seeded_checksum(std::string_view bytes, std::uint64_t place);
 // Returns the place of a row that has a text as its key.
 std::uint64_t place_of(std::string_view key);
 
--- a/tools/fault_tests/lease_grant_cost.cpp
+++ b/tools/fault_tests/lease_grant_cost.cpp
@@ -42,10 +42,10 @@
     void on_received() override {
         std::string_view on_body;
         std::string why;
-        for (std::size_t used = 0; cluster::next_frame(in_.all(), 1 << 20, on_body, used, why) ==
+        for (std::size_t used = 0; cluster::decode_frame(in_.all(), 1 << 20, on_body, used, why) ==
                                    cluster::FrameRead::whole;) {
             wire::Word message;
-            cluster::read_word(on_body, message);
+            cluster::decode_message(on_body, message);
             in_.drop(used);
             const auto& answer = message.lease_answer();
             const int task = static_cast<int>(answer.no() % 1000);
@@ -89,7 +89,7 @@
                    static_cast<std::uint64_t>(task));
         ask.set_member(fmt::format("m{}", task));
         ask.set_life(static_cast<std::uint64_t>(rounds_[task]));
-        put(cluster::frame_with(message));
+        put(cluster::encode_message(message));
     }
     const int at_once_;
     std::map<int, long> rounds_;
@@ -201,7 +201,7 @@
 }
 void measure_own_log(const std::string& folder, Seconds span) {
     const int fd = ::open((folder + "/log").c_str(), O_CREAT | O_WRONLY | O_APPEND, 0600);
-    const std::string frame = cluster::frame_of(std::string(60, 'x'));
+    const std::string frame = cluster::encode_frame(std::string(60, 'x'));
     measure_writes(
         "own frames with XXH3, append and fdatasync",
         [&](auto) {
--- a/tools/fault_tests/lease_holder.cpp
+++ b/tools/fault_tests/lease_holder.cpp
@@ -80,9 +80,9 @@
     void on_document_written(const lease::LeaseName&, std::uint64_t, bool) override {}
     void on_document_read(const lease::LeaseName&, std::uint64_t, const std::string&) override {}
     void act() {
-        const Seconds before = lease::lasting_now();
+        const Seconds before = lease::boottime_now();
         const auto fence = tenant_.may_act(kTask);
-        const Seconds after = lease::lasting_now();
+        const Seconds after = lease::boottime_now();
         if (fence) {
             // The guard allowed the action, which has not been sent.
             if (!mark_.empty() && std::filesystem::remove(mark_)) {
--- a/tools/fault_tests/sidecar_scenarios_input.cpp
+++ b/tools/fault_tests/sidecar_scenarios_input.cpp
@@ -44,14 +44,14 @@
         text_of(fakes::at_port(5, kFleetPort, kDialledNet)));
     message.mutable_from()->mutable_list()->set_rank(1ULL << 40);
     message.mutable_ping()->set_no(1);
-    const std::string valid = cluster::frame_with(message);
+    const std::string valid = cluster::encode_message(message);
     std::string damaged = valid;
     damaged.back() = static_cast<char>(damaged.back() ^ 1);
     const std::string huge = valid.substr(0, 4) + "\xff\xff\xff\x7f" + valid.substr(8);
     std::vector<std::unique_ptr<Stranger>> connections;
     std::vector<Stranger*> expected_closed;
     for (const std::string& bytes : {std::string("GET / HTTP/1.1\r\n\r\n"), damaged, huge,
-                                     cluster::frame_of("\x01"), valid.substr(0, 9)}) {
+                                     cluster::encode_frame("\x01"), valid.substr(0, 9)}) {
         connections.push_back(std::make_unique<Stranger>(run.loop, bytes));
         expected_closed.push_back(connections.back().get());
     }
--- a/tools/fault_tests/stored_records_cost.cpp
+++ b/tools/fault_tests/stored_records_cost.cpp
@@ -38,7 +38,7 @@
     void on_rejected(RequestId, Seconds) override {}
     void on_deferred(RequestId) override {}
     void on_answer_found(RequestId, const std::string&) override {}
-    void on_returned(RequestId, const std::vector<AttemptRecord>&) override {}
+    void on_returned_to_policy(RequestId, const std::vector<AttemptRecord>&) override {}
     void on_effect_unknown(RequestId) override {}
     void on_record_read(const Key&, const Record*) override {}
     void on_alarm(const std::string&) override {}
@@ -75,7 +75,7 @@
 }
 
 void wait_until_stored(ReplicaStore& store, WriteNumber number) {
-    while (store.take_done().up_to < number) {
+    while (store.take_progress().up_to < number) {
         pollfd ready{store.ready(), POLLIN, 0};
         ::poll(&ready, 1, 1000);
     }
@@ -104,7 +104,7 @@
         const double memory = resident();
         const Seconds from = now();
         ReplicaStore store(folder_, Name{"n1"}, 7, settings_);
-        StoredState found = store.take_found();
+        StoredState found = store.take_stored_state();
         NullSender null_sender;
         ReplicaHost& host = null_sender;
         const Replica replica(host, {}, Name{"n1"}, store.disk(), std::move(found), 0);
--- a/tools/mutation_tests/bite.py
+++ b/tools/mutation_tests/bite.py
@@ -128,7 +128,7 @@
     Guard("a holder stops before it releases the lease",
           "src/lease/lease_client.cpp",
           "if (token > FencingToken{}) {\n"
-          "        lose(lease, it->second, LossReason::released);\n"
+          "        mark_lost(lease, it->second, LossReason::released);\n"
           "    }\n"
           "    wanted_leases_.erase(it);",
           "if (token > FencingToken{}) {\n"
@@ -178,7 +178,7 @@
           "condition.too_few_replicas = false;"),
     Guard("a write that was lost in a crash never shares its number with a later one",
           "src/replication/replica.cpp",
-          "last_step_(found.start_count << kStepBitsOfOneStart)",
+          "last_step_(found.start_count << kStepBitsPerStart)",
           "last_step_(0)"),
     Guard("an acknowledgement to a former incarnation fits no message of this one",
           "src/replication/replica.cpp",
@@ -205,7 +205,7 @@
     Guard("writes wait for a replica that was reported as caught up",
           "src/replication/replica_status.cpp",
           "report.caught_up.emplace_back(shard_id, name);\n"
-          "                peer.writes_wait = true;",
+          "                peer.required_for_writes = true;",
           "report.caught_up.emplace_back(shard_id, name);"),
     Guard("an unreachable replica is kept while there are too few",
           "src/replication/replica_set_planner.cpp",
--- a/tools/planner_world/world.cpp
+++ b/tools/planner_world/world.cpp
@@ -24,7 +24,7 @@
     }
     for (auto& planner : planners_) {
         planner->persistent_state = {
-            {{1}, {}}, {{1}, {1}, replica_set, planner::state_of({}, voter_membership)}, {}};
+            {{1}, {}}, {{1}, {1}, replica_set, planner::encode_state({}, voter_membership)}, {}};
         planner->start();
     }
     for (int i = 0; i < settings_.members; ++i) {
--- a/tools/replication_world/node.cpp
+++ b/tools/replication_world/node.cpp
@@ -185,7 +185,7 @@
                                       report, silent);
         return;
     }
-    replication::hear(now, name_of(from), message, *replica, *effect_log);
+    replication::dispatch_message(now, name_of(from), message, *replica, *effect_log);
 }
 
 void ReplicationWorld::Node::handle_table(const std::string& bytes) {
--- a/tools/replication_world/node.hpp
+++ b/tools/replication_world/node.hpp
@@ -74,7 +74,8 @@
     void on_rejected(RequestId request, Seconds) override;
     void on_deferred(RequestId) override {}
     void on_answer_found(RequestId request, const std::string& answer) override;
-    void on_returned(RequestId request, const std::vector<AttemptRecord>& earlier) override;
+    void on_returned_to_policy(RequestId request,
+                               const std::vector<AttemptRecord>& earlier) override;
     void on_effect_unknown(RequestId request) override;
     void on_record_read(const Key&, const Record*) override {}
     void on_alarm(const std::string&) override {}
--- a/tools/replication_world/node_callbacks.cpp
+++ b/tools/replication_world/node_callbacks.cpp
@@ -86,8 +86,8 @@
     finish_request(request, RequestResult::answered_from_record);
 }
 
-void ReplicationWorld::Node::on_returned(RequestId request,
-                                         const std::vector<AttemptRecord>& earlier) {
+void ReplicationWorld::Node::on_returned_to_policy(RequestId request,
+                                                   const std::vector<AttemptRecord>& earlier) {
     const auto it = requests_.find(request);
     if (it == requests_.end()) {
         return;
--- a/tools/simulation/cluster_node.hpp
+++ b/tools/simulation/cluster_node.hpp
@@ -62,7 +62,7 @@
                                       list_version(revision));
         Version version;
         version.list = ListRevision{revision};
-        membership.acts_on(simulated_cluster.now_, version);
+        membership.set_own_versions(simulated_cluster.now_, version);
     }
     // What each message says of its sender.
     struct Sender {
@@ -189,7 +189,7 @@
     }
     void gossip_exclusion(const Name& name, const Incarnation& member_incarnation,
                           bool excluded) override {
-        membership.rule(simulated_cluster.now_, name, member_incarnation, excluded);
+        membership.rule_on_exclusion(simulated_cluster.now_, name, member_incarnation, excluded);
     }
     void trial_participation(TrialParticipation) override {}
     void raise_audit_alarm(const std::string&) override {}
--- a/tools/simulation/cluster_simulation.cpp
+++ b/tools/simulation/cluster_simulation.cpp
@@ -36,7 +36,7 @@
             message.mutable_from()->set_head(std::string(32, 'x'));
             message.mutable_ping()->set_no(5000);
             put(Gossip(count, entry), *message.mutable_ping()->mutable_gossip());
-            bytes.push_back(static_cast<double>(frame_with(message).size()));
+            bytes.push_back(static_cast<double>(encode_message(message).size()));
         }
         return bytes;
     }();
--- a/tools/simulation/lease_measurement.cpp
+++ b/tools/simulation/lease_measurement.cpp
@@ -83,7 +83,7 @@
     answer.mutable_lease_answer()->set_span(6);
     answer.mutable_lease_answer()->set_cluster(~0ULL);
     fmt::print("a question is a frame of {} bytes, its answer one of {}\n",
-               cluster::frame_with(question).size(), cluster::frame_with(answer).size());
+               cluster::encode_message(question).size(), cluster::encode_message(answer).size());
 }
 
 }  // namespace
--- a/tools/simulation/placement.cpp
+++ b/tools/simulation/placement.cpp
@@ -152,7 +152,7 @@
     const std::vector<std::pair<std::string, Method>> methods = {
         {"rendezvous",
          [](std::uint32_t shard_id, const Members& members) {
-             return placed(ShardId{shard_id}, members, kReplicas);
+             return place_replicas(ShardId{shard_id}, members, kReplicas);
          }},
         {"ring, 64 points a member", on_ring},
         {"divided", by_remainder}};
