--- a/src/cluster/replication_agent.hpp
+++ b/src/cluster/replication_agent.hpp
@@ -13,8 +13,8 @@
 #include "cluster/cluster_config.hpp"
 #include "cluster/membership.hpp"
 #include "cluster/peer_connections.hpp"
+#include "net/cluster_observer.hpp"
 #include "net/duplicate_effect_guard.hpp"
-#include "net/fleet_observer.hpp"
 #include "net/log.hpp"
 #include "replication/message_codec.hpp"
 #include "replication/repair_coordinator.hpp"
@@ -105,8 +105,8 @@
     void on_rejected(RequestId request, Seconds retry_after) override;
     void on_deferred(RequestId request) override;
     void on_answer_found(RequestId request, const std::string& answer) override;
-    void on_returned(RequestId request,
-                     const std::vector<replication::AttemptRecord>& earlier) override;
+    void on_returned_to_policy(RequestId request,
+                               const std::vector<replication::AttemptRecord>& earlier) override;
     void on_effect_unknown(RequestId request) override;
     void on_record_read(const replication::Key& key, const replication::Record* record) override;
     void on_alarm(const std::string& text) override {
--- a/tools/fault_tests/lease_grant_cost.cpp
+++ b/tools/fault_tests/lease_grant_cost.cpp
@@ -42,10 +42,11 @@
     void on_received() override {
         std::string_view body;
         std::string error;
-        for (std::size_t frame_size = 0; cluster::next_frame(in_.all(), 1 << 20, body, frame_size,
-                                                             error) == cluster::FrameRead::whole;) {
+        for (std::size_t frame_size = 0;
+             cluster::decode_frame(in_.all(), 1 << 20, body, frame_size, error) ==
+             cluster::FrameRead::whole;) {
             wire::Word message;
-            cluster::read_word(body, message);
+            cluster::decode_message(body, message);
             in_.drop(frame_size);
             const auto& answer = message.lease_answer();
             const int task = static_cast<int>(answer.no() % 1000);
@@ -90,7 +91,7 @@
                        static_cast<std::uint64_t>(task));
         request.set_member(fmt::format("m{}", task));
         request.set_life(static_cast<std::uint64_t>(incarnations_[task]));
-        put(cluster::frame_with(message));
+        put(cluster::encode_message(message));
     }
     const int concurrency_;
     std::map<int, long> incarnations_;
@@ -208,7 +209,7 @@
 }
 void measure_custom_log(const std::string& folder, Seconds duration) {
     const int fd = ::open((folder + "/log").c_str(), O_CREAT | O_WRONLY | O_APPEND, 0600);
-    const std::string frame = cluster::frame_of(std::string(60, 'x'));
+    const std::string frame = cluster::encode_frame(std::string(60, 'x'));
     measure_writes(
         "custom frames with XXH3, append and fdatasync",
         [&](auto) {
--- a/tools/fault_tests/lease_holder.cpp
+++ b/tools/fault_tests/lease_holder.cpp
@@ -82,9 +82,9 @@
     void on_document_written(const lease::LeaseName&, std::uint64_t, bool) override {}
     void on_document_read(const lease::LeaseName&, std::uint64_t, const std::string&) override {}
     void act_if_allowed() {
-        const Seconds checked_after = lease::lasting_now();
+        const Seconds checked_after = lease::boottime_now();
         const auto token = planner_client_.may_act(kTaskLease);
-        const Seconds checked_before = lease::lasting_now();
+        const Seconds checked_before = lease::boottime_now();
         if (token) {
             // The guard has allowed the action, which has not been sent yet.
             if (!mark_path_.empty() && std::filesystem::remove(mark_path_)) {
--- a/tools/simulation/lease_measurement.cpp
+++ b/tools/simulation/lease_measurement.cpp
@@ -84,7 +84,7 @@
     answer.mutable_lease_answer()->set_span(6);
     answer.mutable_lease_answer()->set_cluster(~0ULL);
     fmt::print("a renewal is a frame of {} bytes, its answer one of {} bytes\n",
-               cluster::frame_with(renewal).size(), cluster::frame_with(answer).size());
+               cluster::encode_message(renewal).size(), cluster::encode_message(answer).size());
 }
 
 }  // namespace
--- a/tools/simulation/placement.cpp
+++ b/tools/simulation/placement.cpp
@@ -156,7 +156,7 @@
     const std::vector<std::pair<std::string, PlacementMethod>> methods = {
         {"rendezvous",
          [](std::uint32_t shard_id, const Members& members) {
-             return placed(ShardId{shard_id}, members, kReplicas);
+             return place_replicas(ShardId{shard_id}, members, kReplicas);
          }},
         {"ring, 64 points a member", place_on_ring},
         {"divided", place_by_remainder}};
