--- a/src/cluster/peer_connections.cpp
+++ b/src/cluster/peer_connections.cpp
@@ -29,9 +29,9 @@
 
 }  // namespace
 
-class PeerConnections::Link : public net::TcpConnection {
+class PeerConnections::PeerConnection : public net::TcpConnection {
   public:
-    Link(PeerConnections& all, bool outgoing)
+    PeerConnection(PeerConnections& all, bool outgoing)
         : net::TcpConnection(all.loop_, all.bounds_.max_frame_bytes + kFrameHeaderBytes),
           last_used(net::clock_now()),
           connections_(all),
@@ -96,8 +96,8 @@
       own_host_(own_host),
       listener_(loop, [this](int fd) {
           make_room();
-          auto link = std::make_unique<Link>(*this, false);
-          Link& connection = *link;
+          auto link = std::make_unique<PeerConnection>(*this, false);
+          PeerConnection& connection = *link;
           connection.id = LinkId{links_.add(std::move(link))};
           connection.adopt(fd);
       }) {
@@ -111,7 +111,7 @@
     return listener_.listen(address);
 }
 
-PeerConnections::Link* PeerConnections::find(LinkId link) {
+PeerConnections::PeerConnection* PeerConnections::find(LinkId link) {
     auto* found = links_.find(link.value);
     return found ? found->get() : nullptr;
 }
@@ -121,9 +121,9 @@
 // closed first.
 void PeerConnections::make_room() {
     while (links_.size() >= bounds_.max_connections) {
-        Link* victim = nullptr;
+        PeerConnection* victim = nullptr;
         links_.each([&](std::uint64_t, auto& link) {
-            const auto order = [](const Link& each) {
+            const auto order = [](const PeerConnection& each) {
                 return std::pair(!each.name.value.empty(), each.last_used);
             };
             if (!victim || order(*link) < order(*victim)) {
@@ -139,13 +139,13 @@
         return {};
     }
     make_room();
-    auto link = std::make_unique<Link>(*this, true);
-    Link& connection = *link;
+    auto link = std::make_unique<PeerConnection>(*this, true);
+    PeerConnection& connection = *link;
     connection.id = LinkId{links_.add(std::move(link))};
     connection.open(*to, own_host_);
     return connection.id;
 }
-void PeerConnections::send_frame(Link& link, const wire::Word& message) {
+void PeerConnections::send_frame(PeerConnection& link, const wire::Word& message) {
     const std::string frame = encode_message(message);
     if (frame.size() > bounds_.max_frame_bytes + kFrameHeaderBytes) {
         return owner_.log_message(
@@ -163,7 +163,7 @@
 }
 void PeerConnections::send(const Name& to, const std::string& address, const wire::Word& message) {
     const auto it = links_by_member_.find(to);
-    Link* link = it == links_by_member_.end() ? nullptr : find(it->second);
+    PeerConnection* link = it == links_by_member_.end() ? nullptr : find(it->second);
     // A broken link may go unnoticed by TCP: messages written to it would wait for ever.
     if (link && link->awaiting_since > 0 &&
         net::clock_now() > link->awaiting_since + kAnswerTimeout) {
@@ -181,12 +181,12 @@
     send_frame(*link, message);
 }
 void PeerConnections::send(const std::string& address, const wire::Word& message) {
-    if (Link* link = find(open_link(address))) {
+    if (PeerConnection* link = find(open_link(address))) {
         send_frame(*link, message);
     }
 }
 void PeerConnections::reply(LinkId link, const wire::Word& message) {
-    if (Link* connection = find(link)) {
+    if (PeerConnection* connection = find(link)) {
         send_frame(*connection, message);
     }
 }
@@ -194,7 +194,7 @@
 // Without this check, a client that claims the name of another member would receive the messages
 // for that member.
 bool PeerConnections::assign_member(LinkId id, const Name& name, const std::string& address) {
-    Link* link = find(id);
+    PeerConnection* link = find(id);
     const auto at = net::address_of(address);
     if (!link || !at || link->peer_host() != at->host) {
         return false;
@@ -209,7 +209,8 @@
         }
     }
     link->name = name;
-    Link* other = links_by_member_.contains(name) ? find(links_by_member_.at(name)) : nullptr;
+    PeerConnection* other =
+        links_by_member_.contains(name) ? find(links_by_member_.at(name)) : nullptr;
     if (!other || other->awaiting_since > 0) {
         links_by_member_[name] = id;
     }
--- a/src/cluster/peer_connections.hpp
+++ b/src/cluster/peer_connections.hpp
@@ -65,12 +65,12 @@
     }
 
   private:
-    class Link;
-    Link* find(LinkId link);
+    class PeerConnection;
+    PeerConnection* find(LinkId link);
     LinkId open_link(const std::string& address);
     void make_room();
     void close_link(LinkId link, bool failed);
-    void send_frame(Link& link, const wire::Word& message);
+    void send_frame(PeerConnection& link, const wire::Word& message);
     void maintain();
 
     net::EventLoop& loop_;
@@ -78,7 +78,7 @@
     Bounds bounds_;
     const std::uint32_t own_host_;
     net::Listener listener_;
-    net::Slots<std::unique_ptr<Link>> links_;
+    net::Slots<std::unique_ptr<PeerConnection>> links_;
     std::map<Name, LinkId> links_by_member_;
     net::Timers::Id maintain_timer_ = net::Timers::kNone;
     std::uint64_t bytes_sent_ = 0;
