--- a/tools/acceptance/make_site.py
+++ b/tools/acceptance/make_site.py
@@ -1,10 +1,10 @@
 #!/usr/bin/env python3
-"""Makes the site of a variant: the operators' site file with the choices of a file of deploy/sites laid over it.
+"""Makes the site file of a variant: the operators' site file, overlaid with a file of deploy/sites.
 
-Tables are laid over one another field by field; lists of tables ([[class]], [[tenant]], ...) replace the whole
-list. The files that the bench reads beside a site are laid there too. All goes under build/sites, which git
-ignores: nothing of the operators' files is copied into the repository. Prints the path of the site. Exit status 2
-if something is missing or can't be read; what, and where, is said in one line.
+Tables are merged field by field; a list of tables ([[class]], [[tenant]], ...) replaces the whole list. The files
+that the bench reads from the folder of a site are copied too. The output goes to build/sites, which git ignores, so
+that nothing of the operators' files enters the repository. Prints the path of the site file. If an input is missing
+or can't be read, prints one line that names it and exits with status 2.
 """
 import argparse
 import json
@@ -17,7 +17,7 @@
 
 
 def laid_over(below, above):
-    """`above` over `below`: tables field by field, all else whole."""
+    """Returns `below` overlaid with `above`: tables are merged field by field, other values replaced."""
     if not (isinstance(below, dict) and isinstance(above, dict)):
         return above
     return below | {name: laid_over(below[name], value) if name in below else value
@@ -25,7 +25,7 @@
 
 
 def written(table, path=()):
-    """The lines of a TOML table: plain fields first, then tables, then lists of tables."""
+    """Returns the lines of a TOML table: first its plain fields, then its tables and lists of tables."""
     lines = []
     for name, value in table.items():
         if not is_table(value) and not is_tables(value):
@@ -39,37 +39,41 @@
 
 
 def is_table(value):
+    """Returns whether the value is a TOML table."""
     return isinstance(value, dict)
 
 
 def is_tables(value):
+    """Returns whether the value is a list of TOML tables."""
     return isinstance(value, list) and bool(value) and all(is_table(each) for each in value)
 
 
 def main():
+    """Makes the site file that the command line asks for."""
     words = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    words.add_argument("variant", type=pathlib.Path, help="a file of deploy/sites")
+    words.add_argument("variant", type=pathlib.Path, help="the variant, a file of deploy/sites")
     words.add_argument("--site", type=pathlib.Path, default=pathlib.Path("../given/kit/sites/krakow-premiums.toml"),
                        help="the operators' site file (default: %(default)s)")
-    words.add_argument("--out", type=pathlib.Path, default=pathlib.Path("build/sites"))
+    words.add_argument("--out", type=pathlib.Path, default=pathlib.Path("build/sites"),
+                       help="folder of the output (default: %(default)s)")
     wish = words.parse_args()
     read = []
-    for path, what in ((wish.site, "the operators' site file; it is not in this repository"),
-                       (wish.variant, "the variant")):
+    for path, what in ((wish.site, "cannot read the operators' site file, which is not in this repository"),
+                       (wish.variant, "cannot read the variant")):
         try:
             read.append(tomllib.loads(path.read_text()))
         except (OSError, ValueError) as error:
             sys.exit(complaint(f"{what}: {path}: {error}"))
     missing = [name for name in BESIDE[:3] if not (wish.site.parent / name).is_file()]
     if missing:
-        sys.exit(complaint(f"missing beside the operators' site file: {', '.join(missing)}"))
+        sys.exit(complaint(f"missing in the folder of the operators' site file: {', '.join(missing)}"))
     site = laid_over(*read)
     folder = wish.out / wish.variant.stem
     folder.mkdir(parents=True, exist_ok=True)
     made = folder / f"{wish.variant.stem}.toml"
     text = "\n".join(written(site)) + "\n"
     if tomllib.loads(text) != site:
-        sys.exit(complaint(f"{made} would not read back as it was made"))
+        sys.exit(complaint(f"{made} not written: its text does not parse back to the merged site"))
     made.write_text(text)
     for name in BESIDE:
         if (wish.site.parent / name).is_file():
@@ -78,6 +82,7 @@
 
 
 def complaint(text):
+    """Prints an error message; returns the exit status."""
     print(f"make_site: {text}", file=sys.stderr)
     return 2
 
--- a/tools/mutation_tests/detection.py
+++ b/tools/mutation_tests/detection.py
@@ -1,38 +1,38 @@
-"""Executes the model checker, the simulation and the unit tests until one of them fails."""
+"""Detects a mutation: runs the model checker, the simulation and the unit tests until one fails."""
 import dataclasses
 import pathlib
 import subprocess
 
 BUILD_JOBS = "6"
-# Lines of the compiler's output that are printed where a mutated copy does not build.
+# The number of lines of the build's output that are printed if a mutated copy does not build.
 BUILD_ERROR_LINES = 5
 
-# Sizes of the simulated clusters: (replicas of each shard, least for an acknowledgement).
+# The simulated clusters of replication: (replicas of each shard, minimum for granting claims).
 REPLICATION_SIZES = (("2", "2"), ("3", "2"), ("3", "3"))
-# Sizes of the simulated clusters: (planners, members).
+# The simulated clusters of leases: (planners, members).
 LEASE_SIZES = (("3", "4"), ("5", "20"))
 
 
 @dataclasses.dataclass(frozen=True)
 class Detection:
-    """What failed without a guard."""
+    """The test that failed without a guard, and the lines of its output about the failure."""
 
     detected_by: str
     lines: list[str]
 
 
 class BuildError(Exception):
-    """A mutated copy does not compile; the message is the end of the compiler's output."""
+    """A mutated copy does not build. The message is the end of the build's output."""
 
 
 def run(*command, **options) -> subprocess.CompletedProcess:
-    """Executes a command; its output and its error output are one text."""
+    """Executes a command. Its output and its error output are captured as one text."""
     return subprocess.run(
         command, stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True, **options)
 
 
 def build(tree: pathlib.Path, output: pathlib.Path, *targets: str) -> None:
-    """Builds the targets; raises BuildError if that fails."""
+    """Builds the targets, in Release mode; raises BuildError if the build fails."""
     if not (output / "CMakeCache.txt").exists():
         run("cmake", "-S", tree, "-B", output, "-DCMAKE_BUILD_TYPE=Release", check=True)
     result = run("cmake", "--build", output, "-j", BUILD_JOBS, "--target", *targets)
@@ -41,7 +41,7 @@
 
 
 def first_schedule(lines: list[str]) -> list[str]:
-    """The first fault that the model checker printed, with the events that lead to it."""
+    """Returns the first fault that the model checker printed, with the events that lead to it."""
     start = next((i for i, line in enumerate(lines) if line.endswith("after:")), len(lines) - 1)
     end = start + 1
     while end < len(lines) and lines[end].startswith("  "):
@@ -50,7 +50,7 @@
 
 
 def run_model_checker(output: pathlib.Path, replication: bool) -> Detection | None:
-    """Searches every order of events in small clusters; all searches or those of replication."""
+    """Runs the model checker; if `replication` is set, only its scenarios of replication."""
     only = ["--only", "holders"] if replication else []
     result = run(output / "tideline_model_checker", "--depth", "1", "--first-fault", *only)
     if result.returncode == 0:
@@ -59,7 +59,7 @@
 
 
 def simulations(replication: bool) -> list[tuple[str, list[str]]]:
-    """The label and the arguments of each run of the simulation."""
+    """Returns the label and the arguments of each run of the simulation."""
     if replication:
         return [(f"{copies} replicas, {least} at least",
                  ["holders", "--copies", copies, "--least", least])
@@ -70,7 +70,7 @@
 
 
 def run_simulation(output: pathlib.Path, seeds: int, replication: bool) -> Detection | None:
-    """Simulates clusters of several sizes with seeded faults."""
+    """Runs the simulation, which injects faults by seed, on clusters of several sizes."""
     for label, arguments in simulations(replication):
         result = run(output / "tideline_simulation", *arguments, "--seeds", str(seeds))
         if result.returncode != 0:
@@ -80,7 +80,7 @@
 
 def run_unit_tests(
         tree: pathlib.Path, output: pathlib.Path, replication: bool) -> Detection | None:
-    """Executes the unit tests of the module, for what no run of a whole cluster leads to."""
+    """Runs the module's unit tests, which cover cases that no simulated cluster reaches."""
     target = "tideline_replication_tests" if replication else "tideline_lease_tests"
     build(tree, output, target)
     result = run(output / target)
@@ -92,7 +92,7 @@
 
 def detect(tree: pathlib.Path, output: pathlib.Path, seeds: int,
            replication: bool) -> Detection | None:
-    """Executes the searches, then the unit tests, until one fails; None if none does."""
+    """Returns the first failure of the model checker, the simulation or the unit tests, if any."""
     build(tree, output, "tideline_model_checker", "tideline_simulation")
     return (run_model_checker(output, replication)
             or run_simulation(output, seeds, replication)
--- a/tools/planner_world/linearizability.cpp
+++ b/tools/planner_world/linearizability.cpp
@@ -13,19 +13,19 @@
 
 constexpr double kNever = std::numeric_limits<double>::infinity();
 
-// The register as a sequence of operations leaves it.
+// The state of the register after a sequence of operations.
 struct RegisterState {
     FencingToken token;
     bool alarm_raised = false;
 
-    // Whether the operation with this outcome is possible in this state; if so, `after` is the
-    // state that follows.
+    // Returns whether the operation can have its observed outcome in this state. If so, sets
+    // `after` to the state that follows.
     bool allows(const RegisterObservation& observation, RegisterState& after) const {
         after = *this;
         if (observation.token < token) {
             return false;
         }
-        after.token = observation.token;  // a grant in between need not have been observed
+        after.token = observation.token;  // the grant of this token need not have been observed
         switch (observation.kind) {
             case RegisterObservation::granted:
                 return true;
@@ -46,7 +46,7 @@
     }
 };
 
-// Wing and Gong's search for a linearization.
+// Searches for a linearization with the algorithm of Wing and Gong.
 class LinearizabilitySearch {
   public:
     LinearizabilitySearch(std::vector<RegisterObservation> history, std::size_t max_steps)
@@ -56,7 +56,7 @@
                   [](const auto& a, const auto& b) { return a.asked < b.asked; });
         placed_.resize(history_.size());
     }
-    // nullopt: not decided within the bound on steps.
+    // Returns whether a linearization exists, or nullopt if max_steps is reached first.
     std::optional<bool> run() {
         const bool found = search({}, 0);
         if (!found && steps_ >= max_steps_) {
@@ -66,9 +66,10 @@
     }
 
   private:
-    // Extends the order from this state; `begin`: the operations before it are all placed. The next
-    // operation may be any that was requested before all the remaining ones were answered. A state
-    // from which the search failed is not tried again.
+    // Extends the order from this state and returns whether it can be completed. All operations
+    // before the index `begin` are already placed. The next operation can be any that was requested
+    // before the earliest answer among those that remain. A state from which the search has failed
+    // is not searched again.
     bool search(const RegisterState& state, std::size_t begin) {
         while (begin < history_.size() && placed_[begin]) {
             ++begin;
@@ -97,7 +98,8 @@
         }
         return false;
     }
-    // An operation without an answer need not have taken effect.
+    // Returns whether the order is complete. Operations without an answer can be left out of it,
+    // because they need not have taken effect.
     bool is_complete(std::size_t begin) const {
         for (std::size_t i = begin; i < history_.size(); ++i) {
             if (!placed_[i] && history_[i].answered != kNever) {
@@ -106,7 +108,8 @@
         }
         return true;
     }
-    // The operations that may come next, and the earliest answer among them.
+    // Returns the operations that can come next, and sets `first_answer` to the time of the
+    // earliest answer among them.
     std::vector<std::size_t> candidates_from(std::size_t begin, double& first_answer) const {
         std::vector<std::size_t> candidates;
         for (std::size_t i = begin; i < history_.size() && history_[i].asked <= first_answer; ++i) {
@@ -117,6 +120,7 @@
         }
         return candidates;
     }
+    // Returns a text that identifies the state of the search in visited_.
     std::string key_of(const RegisterState& state, std::size_t begin, std::size_t last) const {
         std::string key = fmt::format("{}.{}.{}", begin, state.token.value, state.alarm_raised);
         for (std::size_t i = begin; i <= last; ++i) {
@@ -126,8 +130,8 @@
     }
 
     std::vector<RegisterObservation> history_;
-    std::vector<bool> placed_;       // whether the operation is part of the order so far
-    std::set<std::string> visited_;  // states from which the search has begun
+    std::vector<bool> placed_;       // whether the order contains the operation
+    std::set<std::string> visited_;  // states from which the search has started
     std::size_t max_steps_;
     std::size_t steps_ = 0;
 };
--- a/tools/planner_world/linearizability.hpp
+++ b/tools/planner_world/linearizability.hpp
@@ -1,4 +1,4 @@
-// Whether the history of a register that members saw is linearizable.
+// A check that the history of operations that members observed on a register is linearizable.
 #pragma once
 
 #include <cstddef>
@@ -11,8 +11,10 @@
 
 using lease::FencingToken;
 
-// One operation on the register (the fencing token and the alarm of a lease) as a member saw it.
+// One operation on the register as a member observed it. The register holds the fencing token and
+// the alarm of a lease.
 struct RegisterObservation {
+    // What the operation did. may_raise and may_clear are requests without a definite answer.
     enum Kind {
         granted,
         raised,
@@ -23,14 +25,15 @@
         may_clear
     } kind = granted;
     FencingToken token;
-    // True times, in seconds. asked < 0: the operation was rejected and had no effect. answered is
-    // infinite: no answer came, and the operation may have taken effect or not.
+    // The true times of the request and of its answer, in seconds. A negative value of asked means
+    // that the operation was rejected and had no effect. An infinite value of answered means that
+    // no definite answer arrived, so the operation may or may not have taken effect.
     double asked = 0;
     double answered = 0;
 };
 
-// Whether some order of the operations, each between its request and its answer, is one that a
-// register allows. nullopt: not decided within max_steps steps of the search.
+// Returns whether a register allows some order of the operations in which each takes effect between
+// its request and its answer. Returns nullopt if the search ends undecided after max_steps steps.
 std::optional<bool> linearizable(std::vector<RegisterObservation> history, std::size_t max_steps);
 
 }  // namespace tideline::simulation
--- a/tools/planner_world/member_node.hpp
+++ b/tools/planner_world/member_node.hpp
@@ -1,4 +1,4 @@
-// One member of the simulated world that competes for the lease: the production lease client.
+// One member of the simulated world. It competes for the lease with the production lease client.
 #pragma once
 
 #include <cstddef>
@@ -12,7 +12,8 @@
 
 namespace tideline::simulation {
 
-// A member. The host of a lease client: the client's requests go to a planner through the world.
+// A member, which is the host of a lease client. The world passes the client's requests to a
+// planner.
 class PlannerWorld::MemberNode : public lease::LeaseClientHost {
   public:
     MemberNode(PlannerWorld& world, int node_index);
@@ -20,15 +21,16 @@
 
     // Starts the member under the next incarnation.
     void start();
-    // Loses the lease client.
+    // Discards the lease client.
     void crash();
-    // Acquires or releases the lease; a member that is down does so when it starts.
+    // Acquires or releases the lease. A member that is down acquires a wanted lease when it starts.
     void set_wanted(bool is_wanted);
-    // Asks the planner to raise or clear the lease's alarm, and opens an entry of the history.
+    // Sends a request to raise or clear the lease's alarm, and adds it to the history.
     void set_alarm(bool raised, FencingToken token);
-    // Handles a message that reached this member. True if the checks have to run.
+    // Handles a message that reached this member. Returns whether the invariants have to be
+    // checked.
     bool handle_message(double at, const wire::Word& message);
-    // The state that later steps depend on, as text.
+    // Returns the state that later events depend on, as text.
     std::string state() const;
 
     // LeaseClientHost
@@ -44,7 +46,7 @@
     std::uint64_t incarnation = 0;
     bool up = true;
     bool wanted = false;
-    std::optional<FencingToken> pending_act;  // the token that an act in progress carries
+    std::optional<FencingToken> pending_act;  // the token of the act in progress
     std::unique_ptr<lease::LeaseClient> lease_client;
 
   private:
@@ -53,9 +55,11 @@
     void handle_lease_answer(double at, const wire::LeaseAnswer& answer);
 
     PlannerWorld* world_;
-    int planner_;                                    // that it asks; -1: any
-    std::map<LeaseRequestId, double> requested_at_;  // true time
-    std::map<std::uint64_t, std::size_t> alarms_;    // request number to index in the history
+    int planner_;                                    // the planner that gets the requests; -1: any
+    std::map<LeaseRequestId, double> requested_at_;  // true time of each request
+    std::map<std::uint64_t, std::size_t> alarms_;    // index in the history by request number
+    // The number of the last alarm request. Alarm requests are numbered from a start that is above
+    // every number of the lease client.
     std::uint64_t last_alarm_ = 1ULL << 32;
 };
 
--- a/tools/planner_world/planner_node.cpp
+++ b/tools/planner_world/planner_node.cpp
@@ -116,7 +116,7 @@
     const ServerId leader = planner_core->raft().leader();
     if (!planner_core->is_serving() && !ask.passed_on() && leader != ServerId{} &&
         leader != self()) {
-        // Forwarded to the leader, which answers the member directly.
+        // Forwards the request to the leader, which answers the member directly.
         message.mutable_lease_ask()->set_passed_on(true);
         world_->send(from, world_->planner_of(leader), message);
         return false;
--- a/tools/planner_world/world.cpp
+++ b/tools/planner_world/world.cpp
@@ -70,7 +70,7 @@
     return is_planner(node) ? 1 + settings_.drift : 1 - settings_.drift;
 }
 
-// The clocks of the nodes differ by an offset and by their rate.
+// The clocks of the nodes differ in offset and in rate.
 double PlannerWorld::local_time(int node) const {
     return now_ * clock_rate(node) + 1000.0 * node;
 }
@@ -79,7 +79,8 @@
     return planner_node(planner).self();
 }
 
-// A former disk of a planner counts too: the address is the same.
+// A server id with a former disk of a planner also leads to that planner, whose address is the
+// same.
 int PlannerWorld::planner_of(ServerId peer) const {
     for (const auto& planner : planners_) {
         for (std::uint64_t disk = 1; disk <= planner->disk; ++disk) {
--- a/tools/planner_world/world.hpp
+++ b/tools/planner_world/world.hpp
@@ -1,8 +1,8 @@
 // A simulated world of planners and members that compete for one lease. They run the production
-// state machines (planner core, lease client, fencing check); disks lose what was not yet stored,
-// clocks run fast and slow, and acts reach their target late. No sockets, no clock: the driver of
-// the world sets the time and delivers the messages. A world can be copied, so that every order of
-// events can be tried. Not thread-safe.
+// state machines (planner core, lease client, fencing check). A crash loses the writes that are not
+// on the disk yet, clocks run fast or slow, and acts reach their target late. The world uses no
+// sockets and no real clock: its driver sets the time and delivers the messages. A world can be
+// copied so that a search can try every order of events. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -31,15 +31,16 @@
     int members = 2;
     planner::PlannerCoreSettings planner_core;
     lease::LeaseClientSettings lease_client;
-    // The planners' clocks run fast by this share and the members' slow: the worst case.
+    // The share by which the planners' clocks run fast and the members' clocks run slow, which is
+    // the worst case for the leases.
     double drift = 0;
-    // True: a member's request may reach any planner. False: a member asks one planner, and the
-    // next one after a failure.
+    // If true, a member's request can reach any planner. If false, a member sends its requests to
+    // one planner, and switches to the next one after a failure.
     bool any_planner = true;
     std::uint32_t seed = 1;
 };
 
-// A message between two nodes. Nodes count from 0: the planners, then the members.
+// A message between two nodes. Node indices count from 0: first the planners, then the members.
 struct PlannerWorldMessage {
     int from = 0;
     int to = 0;         // -1: any planner
@@ -49,8 +50,8 @@
     }
 };
 
-// Planners and members with their disks, clocks and messages. After each event the invariants are
-// checked; the first violation is kept in fault().
+// Planners and members with their disks, clocks and messages. The invariants are checked after each
+// event that can violate them; fault() returns the first violation.
 class PlannerWorld {
   public:
     explicit PlannerWorld(const PlannerWorldSettings& settings);
@@ -60,39 +61,39 @@
 
     // Events.
 
-    // Sets the true time, in seconds; it must not go back.
+    // Sets the true time, in seconds, which must not decrease.
     void set_time(double now) {
         now_ = now;
     }
-    // Hands a message to a node; a node that is down ignores it.
+    // Delivers a message to a node; a node that is down ignores it.
     void deliver(const PlannerWorldMessage& message, int to);
     // Stores all pending writes of a planner.
     void complete_writes(int planner);
-    // Executes whatever is due at a node.
+    // Executes the actions that are due at a node.
     void tick(int node);
-    // Ends the election timeout of a planner that is up.
+    // Lets the election timeout of a planner expire; the planner must be up.
     void start_election(int planner);
-    // Lets a leader start a round of heartbeats.
+    // Lets the planner, which must be up and the leader, start a round of heartbeats.
     void send_heartbeats(int planner);
-    // Stops a node; its pending writes are lost.
+    // Stops a node, whose pending writes are lost.
     void crash(int node);
     // Starts a node that is down.
     void start(int node);
     // Erases the disk of a planner that is down.
     void wipe(int planner);
-    // An operator's command at the planner `by`: admits a planner as a voter.
+    // Executes an operator's command at the planner `by` that admits `planner` as a voter.
     void admit(int planner, int by);
-    // An operator's command at the planner `by`: revokes the lease.
+    // Executes an operator's command at the planner `by` that revokes the lease.
     void revoke(int by);
-    // Whether a member wants the lease.
+    // Sets whether a member wants the lease.
     void set_wanted(int member, bool wanted);
     // Lets a member renew the lease now.
     void renew_now(int member);
-    // Lets a member check whether it may act; if so, an act is pending.
+    // Lets a member check whether it may act. If so, an act is pending afterwards.
     void check_may_act(int member);
-    // The pending act of a member reaches its target, which checks the fencing token.
+    // Lets the pending act of a member reach its target, which checks the fencing token.
     void perform_act(int member);
-    // Raises or clears the alarm of the lease, if the member may act.
+    // Lets a member request to raise or clear the alarm of the lease if it may act.
     void set_alarm(int member, bool raised);
 
     // State.
@@ -106,30 +107,30 @@
     int nodes() const {
         return settings_.planners + settings_.members;
     }
-    // How many nodes, from the first, have a disk.
+    // Returns the number of nodes with a disk; they come first in the order of the indices.
     int disks() const {
         return settings_.planners;
     }
     bool up(int node) const;
-    // The core of a planner; null while it is down.
+    // Returns the core of a planner; null while it is down.
     const planner::PlannerCore* planner_core(int planner) const;
     bool has_pending_writes(int planner) const;
-    // Whether a leader has the planner as a voter, with everything in its log committed.
+    // Returns whether the planner is a voter according to a leader whose whole log is committed.
     bool is_voter(int planner) const;
     bool may_act(int member) const;
-    // The token under which a member may act; 0 if it may not.
+    // Returns the token under which a member may act; 0 if it may not act.
     FencingToken token_of(int member) const;
     bool has_pending_act(int member) const;
     bool is_wanted(int member) const;
-    // The true time at which the node has something to do; infinity while it is down.
+    // Returns the true time at which tick() is due for the node; infinity while it is down.
     double due(int node) const;
-    // Everything that later events depend on, as text.
+    // Returns the state that later events depend on, as text.
     std::string state() const;
-    // The first violated invariant; empty if all hold.
+    // Returns a description of the first violation of an invariant; empty if there was none.
     const std::string& fault() const {
         return fault_;
     }
-    // The messages sent since the last call.
+    // Returns the messages sent since the last call.
     std::vector<PlannerWorldMessage> take_sent() {
         return std::exchange(sent_, {});
     }
@@ -139,15 +140,15 @@
     const PlannerWorldSettings& settings() const {
         return settings_;
     }
-    // How often a member acquired the lease.
+    // Returns how many times a member acquired the lease.
     std::uint64_t grants() const {
         return grants_;
     }
-    // How many acts took effect.
+    // Returns how many acts took effect.
     std::uint64_t acted() const {
         return acted_;
     }
-    // How many acts the fencing check refused.
+    // Returns how many acts the fencing check rejected.
     std::uint64_t refused() const {
         return refused_;
     }
@@ -183,7 +184,7 @@
     std::vector<PlannerWorldMessage> sent_;
     lease::FencingCheck fencing_check_;
     std::string fault_;
-    // What was seen so far; the checks compare later states with it.
+    // Observations from earlier states, with which the checks compare later states.
     std::map<raft::Term, ServerId> leaders_;
     std::map<raft::LogIndex, std::string> committed_entries_;
     std::map<raft::LogIndex, std::string> applied_fingerprints_;
--- a/tools/replication_world/node.hpp
+++ b/tools/replication_world/node.hpp
@@ -16,14 +16,14 @@
 
 using namespace replication;
 
-// A member. The host of its state machines: what they send goes to the world, and what they write
-// is held back until complete_writes.
+// A member, which is the host of its state machines. It passes their messages to the world and
+// holds back their writes until complete_writes() is called.
 class ReplicationWorld::Node : public MessageSender, public RepairCoordinatorHost {
   public:
     // A client's request that has not ended.
     struct ClientRequest {
         GuardedRequest guarded;
-        std::set<EffectOwner> known_owners;  // whose attempts the decision module knows of
+        std::set<EffectOwner> known_owners;  // owners of the attempts that the member knows of
         int attempts = 0;
     };
     // A write that is not on the disk yet.
@@ -39,25 +39,25 @@
     Node(const Node& other, ReplicationWorld& world);
     Name name() const;
     bool up() const;
-    // Starts the state machines from what is on the disk, under the next incarnation.
+    // Starts the state machines from the state on the disk, under the next incarnation.
     void start();
-    // Loses the state machines, every pending write and the clients' requests.
+    // Discards the state machines, every pending write and the clients' requests.
     void crash();
-    // Erases the disk; only while the member is down.
+    // Erases the disk. Call this only while the member is down.
     void wipe();
-    // Corrupts what is on the disk of the shard; only while the member is down.
+    // Corrupts the shard's records on the disk. Call this only while the member is down.
     void corrupt_shard(ShardId shard_id);
     // Applies the pending writes to the disk.
     void complete_writes();
     bool has_pending_writes() const;
 
-    // A client's request, which ends by that time.
+    // Starts a client's request; `ends` is its deadline.
     void submit(std::uint64_t operation, bool idempotent, Seconds ends);
-    // Stands in for the decision module: makes one attempt if the effect log clears it.
+    // Makes one attempt if the effect log clears it. The simulated member has no routing policy.
     void attempt(RequestId id, ClientRequest& request);
-    // An attempt was answered or lost.
+    // Handles the end of an attempt, which was answered or lost.
     void on_attempt_ended(const AttemptInFlight& attempt, AttemptOutcome outcome);
-    // The answer that every endpoint gives to the request with this key.
+    // Returns the answer that every endpoint gives to the request with this key.
     static std::string answer_of(const Key& key);
 
     // ReplicaHost
@@ -88,20 +88,20 @@
     void post(const Name& to, const wire::Holding& message) override;
     Seconds time() const override;
 
-    // Handles a message that reached this member, which must be up.
+    // Handles a message that reached this member. The member must be up.
     void handle_message(int from, const std::string& bytes);
-    // Whether the member believes that it holds the lease of the repair coordinator.
+    // Sets whether the member assumes that it holds the repair coordinator's lease.
     void set_holds_lease(bool holds);
-    // The state that later events depend on, as text.
+    // Returns the state that later events depend on, as text.
     std::string state() const;
-    // Where the record of the key is at this member, for the report of a violation.
+    // Describes where this member has the record of the key, for the description of a violation.
     std::string describe(const Key& key, const ReplicaTable& table) const;
-    // Whether the record is on a disk that the table counts on, and readable.
+    // Returns whether the record is on this member's disk, readable, and the table names that disk.
     bool on_disk(const Key& key, const ReplicaTable& table) const;
     std::uint64_t incarnation() const;
     std::size_t open_requests() const;
 
-    // The state machines; none while the member is down.
+    // The state machines; null while the member is down.
     std::unique_ptr<Replica> replica;
     std::unique_ptr<EffectLogClient> effect_log;
     std::unique_ptr<RepairCoordinator> repair_coordinator;
